--- a/src/bulrushhold/control/_calls.py
+++ b/src/bulrushhold/control/_calls.py
@@ -9,11 +9,11 @@
 from bulrushhold import messages
 from bulrushhold import ports
 
-FORWARD_S: t.Final = 0.7
+FORWARD_TIMEOUT_S: t.Final = 0.7
 # Longer than an election. Operators that gave up meanwhile send again, and
 # the same map twice does no harm.
-PUT_S: t.Final = 2.5
-PAUSE_S: t.Final = 0.1
+CALL_TIMEOUT_S: t.Final = 2.5
+RETRY_INTERVAL_S: t.Final = 0.1
 
 
 class LeaderCalls:
@@ -28,11 +28,13 @@
         self,
         transport: ports.Transport,
         leader: cabc.Callable[[], str],
-        here: cabc.Callable[[messages.Message], cabc.Awaitable[t.Any]],
+        handle_locally: cabc.Callable[
+            [messages.Message], cabc.Awaitable[t.Any]
+        ],
     ) -> None:
         self.transport = transport
         self.leader = leader
-        self.here = here
+        self.handle_locally = handle_locally
 
     async def put_map(
         self, put: messages.RouteMapPut
@@ -42,7 +44,9 @@
         :raises PeerError: where that isn't known to have happened. The
             same map sent again does no harm.
         """
-        reply = await self._ask(messages.Proposal(messages.encode(put)))
+        reply = await self._request_leader(
+            messages.Proposal(messages.encode(put))
+        )
         return messages.decode(reply.result)
 
     async def read_map(self) -> messages.RouteMapReply:
@@ -50,25 +54,25 @@
 
         :raises PeerError: where it isn't sure which one is the newest.
         """
-        return await self._ask(messages.RouteMapRead())
+        return await self._request_leader(messages.RouteMapRead())
 
-    async def _ask(self, request: messages.Message) -> t.Any:
-        step = type(request).__name__
-        end = time.monotonic() + PUT_S
-        last = errors.PeerError('no leader is known', step)
-        while time.monotonic() < end:
-            reply = await self.here(request)
+    async def _request_leader(self, request: messages.Message) -> t.Any:
+        operation = type(request).__name__
+        deadline = time.monotonic() + CALL_TIMEOUT_S
+        last_error = errors.PeerError('no leader is known', operation)
+        while time.monotonic() < deadline:
+            reply = await self.handle_locally(request)
             leader = self.leader()
             if reply is None and leader:
                 try:
                     reply = await self.transport.request(
-                        leader, request, FORWARD_S
+                        leader, request, FORWARD_TIMEOUT_S
                     )
                 except errors.PeerError as error:
-                    last = error
+                    last_error = error
             if reply is not None and reply.status == 'done':
                 return reply
             if reply is not None:
-                last = errors.PeerError(reply.status, step, leader)
-            await asyncio.sleep(PAUSE_S)
-        raise last
+                last_error = errors.PeerError(reply.status, operation, leader)
+            await asyncio.sleep(RETRY_INTERVAL_S)
+        raise last_error
--- a/src/bulrushhold/control/_fleetcontrol.py
+++ b/src/bulrushhold/control/_fleetcontrol.py
@@ -28,30 +28,30 @@
         source: ports.BackendList,
         link_mbps: float = 0.0,
     ) -> None:
-        me = messages.ControlNode(
+        local_node = messages.ControlNode(
             str(server.config.peer), data_centre, True, link_mbps
         )
-        self.news = _news.News(server.clock)
-        self.leader = _leader.LeaderNews(
-            server, me, self.news, source, lambda: self.watch.entries()
+        self.view = _news.ClusterView(server.clock)
+        self.leader = _leader.LeaderPublisher(
+            server, local_node, self.view, source, lambda: self.watch.entries()
         )
-        self.follower = _follower.NewsFollower(
+        self.follower = _follower.LeaderFollower(
             server.transport,
-            me,
-            self.news,
+            local_node,
+            self.view,
             server.replica.leader_address,
             lambda: self.watch.entries(),
             server.clock,
         )
         self.watch = _watch.WatchServer(
             server.transport,
-            me,
-            self.news,
-            self._in_touch,
+            local_node,
+            self.view,
+            self._has_leader_contact,
             server.replica.leader_address,
             server.clock,
         )
-        self.watch.on_attached.append(self._announce)
+        self.watch.attach_hooks.append(self._announce)
 
     @property
     def calls(self) -> _calls.LeaderCalls:
@@ -64,8 +64,8 @@
             self.leader.run(), self.follower.run(), self.watch.run()
         )
 
-    def _in_touch(self) -> bool:
-        return self.leader.leads or self.follower.in_touch
+    def _has_leader_contact(self) -> bool:
+        return self.leader.is_leader or self.follower.has_leader_contact
 
     def _announce(self) -> None:
         self.leader.announce()
@@ -78,25 +78,27 @@
     def __init__(
         self, relay: _relay.Relay, data_centre: str, link_mbps: float = 0.0
     ) -> None:
-        me = messages.ControlNode(relay.peer, data_centre, False, link_mbps)
-        self.news = _news.News(relay.clock)
-        self.follower = _follower.NewsFollower(
+        local_node = messages.ControlNode(
+            relay.peer, data_centre, False, link_mbps
+        )
+        self.view = _news.ClusterView(relay.clock)
+        self.follower = _follower.LeaderFollower(
             relay.transport,
-            me,
-            self.news,
+            local_node,
+            self.view,
             lambda: relay.leader,
             lambda: self.watch.entries(),
             relay.clock,
         )
         self.watch = _watch.WatchServer(
             relay.transport,
-            me,
-            self.news,
-            lambda: self.follower.in_touch,
+            local_node,
+            self.view,
+            lambda: self.follower.has_leader_contact,
             lambda: relay.leader,
             relay.clock,
         )
-        self.watch.on_attached.append(self.follower.announce)
+        self.watch.attach_hooks.append(self.follower.announce)
 
     async def run(self) -> None:
         """Serve until cancelled."""
--- a/src/bulrushhold/control/_leader.py
+++ b/src/bulrushhold/control/_leader.py
@@ -18,14 +18,14 @@
 
 # Calls to the platform's list are limited for all readers together; a list
 # that lags by 0.8 s gains little from more.
-LIST_EVERY_S: t.Final = 0.4
+LIST_INTERVAL_S: t.Final = 0.4
 LIST_TIMEOUT_S: t.Final = 1.0
-LEAD_CHECK_S: t.Final = 0.1
+LEADERSHIP_CHECK_INTERVAL_S: t.Final = 0.1
 # Control processes call again every 0.3 s at the latest.
-NODE_SILENCE_S: t.Final = 1.0
+NODE_TIMEOUT_S: t.Final = 1.0
 
 
-class LeaderNews:
+class LeaderPublisher:
     """The leader's side of control processes' long polls.
 
     :param me: this process.
@@ -36,23 +36,25 @@
     def __init__(
         self,
         server: _server.ControlServer,
-        me: messages.ControlNode,
-        news: _news.News,
+        local_node: messages.ControlNode,
+        view: _news.ClusterView,
         source: ports.BackendList,
-        attached: cabc.Callable[[], list[messages.ListedEntry]],
+        local_entries: cabc.Callable[[], list[messages.ListedEntry]],
     ) -> None:
         self.server = server
-        self.me = me
-        self.news = news
+        self.local_node = local_node
+        self.view = view
         self.source = source
-        self.attached = attached
+        self.local_entries = local_entries
         self.registry = _registry.EntryRegistry()
         self.nodes: dict[str, tuple[messages.ControlNode, float]] = {}
-        self.backends_number = 0
+        self.backends_revision = 0
         self.calls = _calls.LeaderCalls(
-            server.transport, server.replica.leader_address, self._here
+            server.transport,
+            server.replica.leader_address,
+            self._handle_locally,
         )
-        server.applied_hooks.append(self._take_state)
+        server.applied_hooks.append(self._update_route_map)
         server.transport.handle(messages.NodeWatch, self._on_node_watch)
         server.transport.handle(messages.RouteMapRead, self._on_read)
 
@@ -61,52 +63,57 @@
         next_list = 0.0
         while True:
             now = self._now()
-            if self.leads:
-                self._lead(now)
+            if self.is_leader:
+                self._update_view(now)
                 if now >= next_list:
-                    next_list = now + LIST_EVERY_S
+                    next_list = now + LIST_INTERVAL_S
                     await self._read_list()
-            await asyncio.sleep(LEAD_CHECK_S)
+            await asyncio.sleep(LEADERSHIP_CHECK_INTERVAL_S)
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether what this process says is what control says."""
         return self.server.replica.lease_holds(self._now())
 
     def _now(self) -> float:
         return self.server.clock()
 
-    def _lead(self, now: float) -> None:
+    def _update_view(self, now: float) -> None:
         self.registry.lead(self.server.replica.term, now)
-        self._take_state()
-        self.registry.hear_all(self.me.address, self.attached(), now)
-        gone = self.registry.expire(now)
-        if gone:
-            node.log_decision('entries silent', entries=gone)
-        self._list_members(now)
-
-    def _list_members(self, now: float) -> None:
-        news = self.news
-        news.core = sorted(self.server.replica.config.voters.values())
+        self._update_route_map()
+        self.registry.refresh_source(
+            self.local_node.address, self.local_entries(), now
+        )
+        expired = self.registry.expire(now)
+        if expired:
+            node.log_decision('entries silent', entries=expired)
+        self._update_members(now)
+
+    def _update_members(self, now: float) -> None:
+        view = self.view
+        view.core = sorted(self.server.replica.config.voters.values())
         version = self.registry.version(now)
-        if version not in ('', news.entries_version):
-            news.entries = self.registry.entries()
-            news.entries_version = version
-            news.notify()
+        if version not in ('', view.entries_version):
+            view.entries = self.registry.entries()
+            view.entries_version = version
+            view.notify()
         self.nodes = {
-            address: (known, at)
-            for address, (known, at) in self.nodes.items()
-            if now - at <= NODE_SILENCE_S
+            address: (member, seen_at)
+            for address, (member, seen_at) in self.nodes.items()
+            if now - seen_at <= NODE_TIMEOUT_S
         }
-        live = [self.me, *(known for known, _ in self.nodes.values())]
-        news.take_nodes(sorted(live, key=str))
+        live = [
+            self.local_node,
+            *(member for member, _ in self.nodes.values()),
+        ]
+        view.update_nodes(sorted(live, key=str))
 
-    def _take_state(self) -> None:
+    def _update_route_map(self) -> None:
         put = self.server.state.route_map
-        if put is not None and put.version > self.news.map_version:
-            self.news.route_map = put.packed
-            self.news.map_version = put.version
-            self.news.notify()
+        if put is not None and put.version > self.view.map_version:
+            self.view.route_map = put.packed
+            self.view.map_version = put.version
+            self.view.notify()
 
     async def _read_list(self) -> None:
         try:
@@ -115,52 +122,52 @@
         except (TimeoutError, errors.PeerError) as error:
             loguru.logger.bind(error=str(error)).warning('list not read')
             return
-        news = self.news
-        news.backends_at = self._now()
+        view = self.view
+        view.backends_at = self._now()
         term = f'{self.server.replica.term}.'
-        if backends == news.backends and news.backends_version.startswith(
+        if backends == view.backends and view.backends_version.startswith(
             term
         ):
             return
-        self.backends_number += 1
-        news.backends = backends
-        news.backends_version = f'{term}{self.backends_number}'
+        self.backends_revision += 1
+        view.backends = backends
+        view.backends_version = f'{term}{self.backends_revision}'
         node.log_decision(
             'list changed',
-            version=news.backends_version,
+            version=view.backends_version,
             backends=len(backends),
             leaving=[b.ident for b in backends if b.leaving],
         )
-        news.notify()
+        view.notify()
 
     def announce(self) -> None:
         """Take a change of the entries that are attached to this process."""
-        if self.leads:
-            self._lead(self._now())
+        if self.is_leader:
+            self._update_view(self._now())
 
-    def _take_node(self, watch: messages.NodeWatch) -> None:
+    def _update_node(self, watch: messages.NodeWatch) -> None:
         now = self._now()
         self.registry.lead(self.server.replica.term, now)
         self.nodes[watch.node.address] = (watch.node, now)
-        self.registry.hear_all(watch.node.address, watch.entries, now)
-        self._list_members(now)
+        self.registry.refresh_source(watch.node.address, watch.entries, now)
+        self._update_members(now)
 
     # Long polls of other control processes
 
     async def _on_node_watch(
         self, watch: messages.NodeWatch
     ) -> messages.WatchReply:
-        if not self.leads:
+        if not self.is_leader:
             return self._not_leader()
-        self._take_node(watch)
-        await self.news.wait(
-            lambda: self.news.is_newer_than(watch.known), watch.hold_s
+        self._update_node(watch)
+        await self.view.wait(
+            lambda: self.view.is_newer_than(watch.known), watch.hold_s
         )
         # Again, as late as can be: while the call was held this process may
         # have been suspended, and another may lead by now.
-        if not self.leads:
+        if not self.is_leader:
             return self._not_leader()
-        return self.news.reply(watch.known)
+        return self.view.reply(watch.known)
 
     def _not_leader(self) -> messages.WatchReply:
         replica = self.server.replica
@@ -176,7 +183,7 @@
         self, read: messages.RouteMapRead
     ) -> messages.RouteMapReply:
         del read
-        if not self.leads:
+        if not self.is_leader:
             return messages.RouteMapReply(
                 'not_leader', self.server.replica.leader_address()
             )
@@ -187,7 +194,7 @@
             'done', version=put.version, source=put.source
         )
 
-    async def _here(self, request: messages.Message) -> t.Any:
+    async def _handle_locally(self, request: messages.Message) -> t.Any:
         """Answer as leader; ``None`` where another one has to."""
         if self.server.replica.role is not decisions.Role.LEADER:
             return None
--- a/src/bulrushhold/control/_news.py
+++ b/src/bulrushhold/control/_news.py
@@ -9,10 +9,10 @@
 
 from bulrushhold import messages
 
-MAX_HOLD_S: t.Final = 1.0
+MAX_LONG_POLL_S: t.Final = 1.0
 
 
-class News:
+class ClusterView:
     """The newest route map, backend servers, entries and control processes.
 
     Made by the leader, and handed on by all other control processes with
@@ -44,31 +44,31 @@
         self, ready: cabc.Callable[[], bool], hold_s: float
     ) -> None:
         """Wait until ``ready``, for a bounded time."""
-        end = self.clock() + min(hold_s, MAX_HOLD_S)
+        deadline = self.clock() + min(hold_s, MAX_LONG_POLL_S)
         while not ready():
-            left = end - self.clock()
-            if left <= 0:
+            remaining_s = deadline - self.clock()
+            if remaining_s <= 0:
                 return
             changed = self.changed
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await changed.wait()
 
-    def is_newer_than(self, known: messages.Known) -> bool:
+    def is_newer_than(self, versions: messages.Known) -> bool:
         """Whether a process that knows so much is to be answered."""
         return (
-            self.map_version > known.route_map
-            or self.backends_version not in ('', known.backends)
-            or self.entries_version not in ('', known.entries)
-            or self.nodes_version not in ('', known.nodes)
+            self.map_version > versions.route_map
+            or self.backends_version not in ('', versions.backends)
+            or self.entries_version not in ('', versions.entries)
+            or self.nodes_version not in ('', versions.nodes)
         )
 
-    def reply(self, known: messages.Known) -> messages.WatchReply:
+    def reply(self, versions: messages.Known) -> messages.WatchReply:
         """Return what a process doesn't know yet."""
-        newer_map = self.map_version > known.route_map
-        newer_backends = self.backends_version not in ('', known.backends)
-        newer_entries = self.entries_version not in ('', known.entries)
-        newer_nodes = self.nodes_version not in ('', known.nodes)
+        newer_map = self.map_version > versions.route_map
+        newer_backends = self.backends_version not in ('', versions.backends)
+        newer_entries = self.entries_version not in ('', versions.entries)
+        newer_nodes = self.nodes_version not in ('', versions.nodes)
         return messages.WatchReply(
             'done',
             core=self.core,
@@ -83,7 +83,7 @@
             nodes=self.nodes if newer_nodes else None,
         )
 
-    def known(self) -> messages.Known:
+    def versions(self) -> messages.Known:
         """Return the versions of all that is here."""
         return messages.Known(
             self.map_version,
@@ -92,9 +92,9 @@
             self.nodes_version,
         )
 
-    def take(self, reply: messages.WatchReply) -> None:
+    def update(self, reply: messages.WatchReply) -> None:
         """Take what the leader answered; wake long polls if it is news."""
-        known = self.known()
+        versions = self.versions()
         if reply.core:
             self.core = reply.core
         # Forward only: a leader that was just deposed may answer late.
@@ -115,10 +115,10 @@
         if reply.nodes is not None:
             self.nodes = reply.nodes
             self.nodes_version = reply.nodes_version
-        if self.known() != known:
+        if self.versions() != versions:
             self.notify()
 
-    def take_nodes(self, nodes: list[messages.ControlNode]) -> None:
+    def update_nodes(self, nodes: list[messages.ControlNode]) -> None:
         """Take the control processes that the leader hears of."""
         if nodes != self.nodes:
             self.nodes = nodes
--- a/src/bulrushhold/control/_relay.py
+++ b/src/bulrushhold/control/_relay.py
@@ -15,12 +15,12 @@
 from bulrushhold import node
 from bulrushhold import ports
 
-LOOK_EVERY_S: t.Final = 0.3
+LEADER_CHECK_INTERVAL_S: t.Final = 0.3
 # Entries wait for news while no leader is known.
-SEEK_EVERY_S: t.Final = 0.1
-ASK_S: t.Final = 0.3
+LEADER_SEARCH_INTERVAL_S: t.Final = 0.1
+REQUEST_TIMEOUT_S: t.Final = 0.3
 # All instances start within 0.3 s of each other, and take as long to start.
-FOUND_AFTER_S: t.Final = 0.7
+BOOTSTRAP_DELAY_S: t.Final = 0.7
 
 
 class Relay:
@@ -48,69 +48,73 @@
         self.clock = clock
         self.leader = ''
         self.core: list[str] = []
-        self.newcomers: dict[str, str] = {}
-        self.founder = ''
-        self.first_at: float | None = None
+        self.join_candidates: dict[str, str] = {}
+        self.bootstrap_address = ''
+        self.first_join_at: float | None = None
         self.calls = _calls.LeaderCalls(
-            transport, lambda: self.leader, self._never_here
+            transport, lambda: self.leader, self._never_local
         )
         transport.handle(messages.JoinRequest, self._on_join)
         transport.handle(messages.CoreRead, self._on_core_read)
-        transport.handle(messages.CoreReply, self._on_news)
+        transport.handle(messages.CoreReply, self._on_core_reply)
 
     async def run(self) -> None:
         """Look for the leader, again and again."""
         while True:
-            await self._look()
-            self._appoint()
-            every = LOOK_EVERY_S if self.leader else SEEK_EVERY_S
-            await asyncio.sleep(every)
-
-    async def _look(self) -> None:
-        known = [self.leader, *self.core, *self.newcomers.values()]
-        for address in dict.fromkeys([*known, *self.contacts]):
+            await self._find_leader()
+            self._bootstrap_log()
+            interval_s = (
+                LEADER_CHECK_INTERVAL_S
+                if self.leader
+                else LEADER_SEARCH_INTERVAL_S
+            )
+            await asyncio.sleep(interval_s)
+
+    async def _find_leader(self) -> None:
+        addresses = [self.leader, *self.core, *self.join_candidates.values()]
+        for address in dict.fromkeys([*addresses, *self.contacts]):
             if not address or address == self.peer:
                 continue
             with contextlib.suppress(errors.PeerError):
                 reply = await self.transport.request(
-                    address, messages.CoreRead(), ASK_S
+                    address, messages.CoreRead(), REQUEST_TIMEOUT_S
                 )
-                self._learn(reply)
+                self._update_members(reply)
                 if reply.leader:
                     return
         self.leader = ''
 
-    def _learn(self, news: messages.CoreReply) -> None:
-        if news.config.voters:
-            self.core = sorted(news.config.voters.values())
-        if news.leader:
-            self._follow(news.leader)
+    def _update_members(self, reply: messages.CoreReply) -> None:
+        if reply.config.voters:
+            self.core = sorted(reply.config.voters.values())
+        if reply.leader:
+            self._set_leader(reply.leader)
 
-    def _follow(self, leader: str) -> None:
+    def _set_leader(self, leader: str) -> None:
         if leader != self.leader:
             node.log_decision('control found', peer=leader)
         self.leader = leader
         self.appoints = False
 
-    def _appoint(self) -> None:
+    def _bootstrap_log(self) -> None:
         """Have the first replica by address found the log.
 
         Only one may, and always the same one: a second log beside the
         first would take acknowledgements that nobody could find again.
         """
-        if not self.appoints or self.first_at is None:
+        if not self.appoints or self.first_join_at is None:
             return
-        if self.clock() - self.first_at < FOUND_AFTER_S:
+        if self.clock() - self.first_join_at < BOOTSTRAP_DELAY_S:
             return
-        if not self.founder:
-            self.founder = min(self.newcomers.values())
-            node.log_decision('founder appointed', peer=self.founder)
-        self.transport.send(self.founder, messages.Found())
+        if not self.bootstrap_address:
+            self.bootstrap_address = min(self.join_candidates.values())
+            node.log_decision('founder appointed', peer=self.bootstrap_address)
+        self.transport.send(self.bootstrap_address, messages.Found())
 
     async def _on_join(self, request: messages.JoinRequest) -> None:
-        self.newcomers[request.replica] = request.address
-        if self.first_at is None:
-            self.first_at = self.clock()
+        self.join_candidates[request.replica] = request.address
+        if self.first_join_at is None:
+            self.first_join_at = self.clock()
         if self.leader:
             self.transport.send(self.leader, request)
 
@@ -121,8 +125,8 @@
         voters = {address: address for address in self.core}
         return messages.CoreReply(self.leader, messages.Config(voters=voters))
 
-    async def _on_news(self, news: messages.CoreReply) -> None:
-        self._learn(news)
+    async def _on_core_reply(self, reply: messages.CoreReply) -> None:
+        self._update_members(reply)
 
-    async def _never_here(self, request: messages.Message) -> None:
+    async def _never_local(self, request: messages.Message) -> None:
         del request
--- a/src/bulrushhold/control/_server.py
+++ b/src/bulrushhold/control/_server.py
@@ -17,18 +17,18 @@
 from bulrushhold import settings
 
 PROPOSAL_TIMEOUT_S: t.Final = 3.0
-JOIN_EVERY_S: t.Final = 0.5
+JOIN_INTERVAL_S: t.Final = 0.5
 # While there are fewer voters than wanted, so that a new log is complete
 # within a second or two.
-GROW_EVERY_S: t.Final = 0.1
+BOOTSTRAP_JOIN_INTERVAL_S: t.Final = 0.1
 # After this time a new log makes do with the replicas that have come.
-FOUNDING_S: t.Final = 6.0
+BOOTSTRAP_TIMEOUT_S: t.Final = 6.0
 # Longer than an election, so that a replica asks to join only where it has
 # really been left out, such as after a long freeze.
-LEFT_OUT_S: t.Final = 2.5
-SHORTEST_WAIT_S: t.Final = 0.001
-FORGET_EVERY_S: t.Final = 30.0
-IN_FORCE_KEPT_S: t.Final = 60.0
+REJOIN_AFTER_S: t.Final = 2.5
+MIN_WAIT_S: t.Final = 0.001
+CLAIM_EXPIRY_INTERVAL_S: t.Final = 30.0
+APPLIED_REVISION_TTL_S: t.Final = 60.0
 _REPLICA_MESSAGES: t.Final = (
     messages.VoteRequest,
     messages.VoteReply,
@@ -39,7 +39,7 @@
 
 
 @attrs.define
-class _Waiting:
+class _PendingProposal:
     """A proposal whose entry isn't applied yet."""
 
     term: int
@@ -72,22 +72,22 @@
         self.clock = clock
         self.started_at = clock()
         self.contacts = list(config.contacts)
-        self.told = messages.Config()
+        self.reported_config = messages.Config()
         self.applied_hooks: list[cabc.Callable[[], None]] = []
-        self.log_bytes = 0
-        self.founded = False
-        self.waiting: dict[int, _Waiting] = {}
-        self.in_force: dict[str, tuple[int, float]] = {}
-        self.since_snapshot = 0
+        self.bytes_since_snapshot = 0
+        self.bootstrapped = False
+        self.pending_proposals: dict[int, _PendingProposal] = {}
+        self.applied_revisions: dict[str, tuple[int, float]] = {}
+        self.entries_since_snapshot = 0
         self.work = asyncio.Event()
         self.next_join = 0.0
-        self.next_forget = 0.0
+        self.next_claim_expiry = 0.0
         for kind in _REPLICA_MESSAGES:
             transport.handle(kind, self._on_replica_message)
         transport.handle(messages.JoinRequest, self._on_join)
         transport.handle(messages.JoinReply, self._on_join_reply)
         transport.handle(messages.CoreRead, self._on_core_read)
-        transport.handle(messages.Found, self._on_found)
+        transport.handle(messages.Found, self._on_bootstrap_order)
         transport.handle(messages.Proposal, self._on_proposal)
         transport.handle(messages.TableRead, self._on_table_read)
         transport.handle(messages.HistoryRead, self._on_history_read)
@@ -100,23 +100,23 @@
         """
         while True:
             self.replica.tick(self.clock())
-            self._look_after_members()
-            self.drive()
+            self._maintain_membership()
+            self.process_ready()
             # Not wait_for: in Python 3.11 it may return a result and forget
             # a cancellation that came with it; the process would never end.
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(self._wake_in()):
+                async with asyncio.timeout(self._seconds_to_wakeup()):
                     await self.work.wait()
             self.work.clear()
-            if self.founded:
+            if self.bootstrapped:
                 return
 
-    def _wake_in(self) -> float:
+    def _seconds_to_wakeup(self) -> float:
         now = self.clock()
-        left = min(self.replica.wake_in(now), self.next_join - now)
-        return max(SHORTEST_WAIT_S, left)
+        delay_s = min(self.replica.wake_in(now), self.next_join - now)
+        return max(MIN_WAIT_S, delay_s)
 
-    def drive(self) -> None:
+    def process_ready(self) -> None:
         """Do all that the replica wants done: save, send, apply."""
         while True:
             self.replica.flush(self.clock())
@@ -144,11 +144,13 @@
         self.store.save_snapshot(snapshot, ready.entries)
         self.replica.saved_up_to(self.replica.last_index)
         self.state = decisions.ReplicatedState.restore(snapshot.state)
-        self.since_snapshot = 0
+        self.entries_since_snapshot = 0
 
     def _send(self, peer: str, message: messages.Message) -> None:
         config = self.replica.config
-        address = _address_in(config, peer) or _address_in(self.told, peer)
+        address = _address_in(config, peer) or _address_in(
+            self.reported_config, peer
+        )
         if address is None:
             # A voter that this replica's log doesn't know yet.
             name = peer.partition('.')[0]
@@ -161,47 +163,47 @@
         result = b''
         if entry.kind == messages.KIND_COMMAND:
             result = self.state.apply(entry.data)
-        waiting = self.waiting.pop(entry.index, None)
-        if waiting is not None and not waiting.future.done():
-            same = waiting.term == entry.term
-            waiting.future.set_result(result if same else None)
-        self.since_snapshot += 1
-        self.log_bytes += len(entry.data)
-        large = (
-            self.since_snapshot >= self.config.snapshot_every
-            or self.log_bytes >= self.config.snapshot_bytes
+        pending = self.pending_proposals.pop(entry.index, None)
+        if pending is not None and not pending.future.done():
+            same_term = pending.term == entry.term
+            pending.future.set_result(result if same_term else None)
+        self.entries_since_snapshot += 1
+        self.bytes_since_snapshot += len(entry.data)
+        snapshot_due = (
+            self.entries_since_snapshot >= self.config.snapshot_every
+            or self.bytes_since_snapshot >= self.config.snapshot_bytes
         )
-        if large and entry.index == self.replica.applied:
+        if snapshot_due and entry.index == self.replica.applied:
             self._snapshot(entry.index)
 
     def _snapshot(self, index: int) -> None:
         snapshot = self.replica.compact(index, self.state.dump())
         saved = self.replica.saved - index
         self.store.save_snapshot(snapshot, self.replica.log.entries[:saved])
-        self.since_snapshot = 0
-        self.log_bytes = 0
+        self.entries_since_snapshot = 0
+        self.bytes_since_snapshot = 0
         loguru.logger.bind(index=index).info('snapshot')
 
     # Members
 
-    def _look_after_members(self) -> None:
+    def _maintain_membership(self) -> None:
         now = self.clock()
         if now < self.next_join:
             return
-        self.next_join = now + JOIN_EVERY_S
-        self._announce()
+        self.next_join = now + JOIN_INTERVAL_S
+        self._advertise_leader()
         if self.replica.role is decisions.Role.LEADER:
-            if self._too_few_voters():
-                self.next_join = now + GROW_EVERY_S
+            if self._has_too_few_voters():
+                self.next_join = now + BOOTSTRAP_JOIN_INTERVAL_S
             self._promote_learners()
-            self._forget_old_claims(now)
+            self._expire_claims(now)
         elif (
             self.replica.ident not in self.replica.config.voters
-            or self.replica.silent_for(now) > LEFT_OUT_S
+            or self.replica.silent_for(now) > REJOIN_AFTER_S
         ):
-            self._ask_to_join()
+            self._request_join()
 
-    def _announce(self) -> None:
+    def _advertise_leader(self) -> None:
         """Tell contacts that aren't members where control is.
 
         Relays keep nothing. After a loss of all power, one whose seeds name
@@ -209,14 +211,14 @@
         ask nobody but such relays.
         """
         config = self.replica.config
-        news = messages.CoreReply(self.replica.leader_address(), config)
+        reply = messages.CoreReply(self.replica.leader_address(), config)
         members = {*config.voters.values(), *config.learners.values()}
         others = set(map(str, self.contacts)) - members
         for address in sorted(others - {str(self.config.peer)}):
             if config.voters:
-                self.transport.send(address, news)
+                self.transport.send(address, reply)
 
-    def _ask_to_join(self) -> None:
+    def _request_join(self) -> None:
         request = messages.JoinRequest(
             self.replica.ident, str(self.config.peer)
         )
@@ -226,7 +228,7 @@
             *map(str, self.contacts),
             *config.voters.values(),
             *config.learners.values(),
-            *self.told.voters.values(),
+            *self.reported_config.voters.values(),
         }
         for address in sorted(known - {str(self.config.peer)}):
             self.transport.send(address, request)
@@ -262,7 +264,7 @@
             )
             self.work.set()
 
-    def _too_few_voters(self) -> bool:
+    def _has_too_few_voters(self) -> bool:
         return len(self.replica.config.voters) < self.config.voters
 
     async def _on_core_read(
@@ -272,7 +274,7 @@
         replica = self.replica
         return messages.CoreReply(replica.leader_address(), replica.config)
 
-    async def _on_found(self, order: messages.Found) -> None:
+    async def _on_bootstrap_order(self, order: messages.Found) -> None:
         del order
         durable = self.replica.term or self.replica.last_index
         if not self.config.founds or durable or self.replica.config.voters:
@@ -283,18 +285,18 @@
         )
         self.store.write_identity(identity)
         node.log_decision('log founded', replica=self.replica.ident)
-        self.founded = True
+        self.bootstrapped = True
         self.work.set()
 
     async def _on_join_reply(self, reply: messages.JoinReply) -> None:
-        self.told = reply.config
+        self.reported_config = reply.config
 
-    def _forget_old_claims(self, now: float) -> None:
-        if now < self.next_forget:
+    def _expire_claims(self, now: float) -> None:
+        if now < self.next_claim_expiry:
             return
-        self.next_forget = now + FORGET_EVERY_S
-        before = time.time() - self.config.claim_keep_s
-        self.replica.propose(messages.encode(messages.ForgetClaims(before)))
+        self.next_claim_expiry = now + CLAIM_EXPIRY_INTERVAL_S
+        cutoff = time.time() - self.config.claim_keep_s
+        self.replica.propose(messages.encode(messages.ForgetClaims(cutoff)))
 
     # Requests
 
@@ -309,7 +311,7 @@
 
     async def propose(self, command: bytes) -> messages.ProposalReply:
         """Have a command committed, as leader, and return its result."""
-        if self._still_growing():
+        if self._is_bootstrapping():
             return messages.ProposalReply('unknown')
         proposed = self.replica.propose(command)
         if proposed is None:
@@ -320,13 +322,13 @@
         future: asyncio.Future[bytes | None] = (
             asyncio.get_running_loop().create_future()
         )
-        self.waiting[index] = _Waiting(term, future)
+        self.pending_proposals[index] = _PendingProposal(term, future)
         self.work.set()
         try:
             async with asyncio.timeout(PROPOSAL_TIMEOUT_S):
                 result = await future
         except TimeoutError:
-            self.waiting.pop(index, None)
+            self.pending_proposals.pop(index, None)
             return messages.ProposalReply('unknown')
         if result is None:
             return messages.ProposalReply(
@@ -334,14 +336,18 @@
             )
         return messages.ProposalReply('done', result=result)
 
-    def _still_growing(self) -> bool:
+    def _is_bootstrapping(self) -> bool:
         """Whether a new log has too few replicas to promise anything.
 
         It begins with one voter. What that one alone acknowledged would
         be gone with its disk.
         """
-        young = self.clock() - self.started_at < FOUNDING_S
-        return self.config.founds and young and self._too_few_voters()
+        within_timeout = self.clock() - self.started_at < BOOTSTRAP_TIMEOUT_S
+        return (
+            self.config.founds
+            and within_timeout
+            and self._has_too_few_voters()
+        )
 
     async def _on_table_read(
         self, read: messages.TableRead
@@ -351,7 +357,7 @@
                 'not_leader', self.replica.leader_address()
             )
         if read.instance:
-            self.in_force[read.instance] = (read.known, self.clock())
+            self.applied_revisions[read.instance] = (read.known, self.clock())
         table = self.state.table
         if read.at >= 0:
             return self._table_at(read.at)
@@ -396,8 +402,8 @@
         replica = self.replica
         recent = {
             name: (revision, round(now - at, 3))
-            for name, (revision, at) in self.in_force.items()
-            if now - at < IN_FORCE_KEPT_S
+            for name, (revision, at) in self.applied_revisions.items()
+            if now - at < APPLIED_REVISION_TTL_S
         }
         return messages.StatusReply(
             replica=replica.ident,
--- a/src/bulrushhold/control/_watch.py
+++ b/src/bulrushhold/control/_watch.py
@@ -17,16 +17,16 @@
 
 # Reports come with every stream that begins; each batch costs a message for
 # each entry. A prompt is read for many times as long.
-PUBLISH_EVERY_S: t.Final = 0.15
+PUBLISH_INTERVAL_S: t.Final = 0.15
 # Sums go to a few processes only.
-EXCHANGE_EVERY_S: t.Final = 0.05
+EXCHANGE_INTERVAL_S: t.Final = 0.05
 # Without changes, so that others know that this process lives.
-REFRESH_S: t.Final = 0.1
+REFRESH_INTERVAL_S: t.Final = 0.1
 # Processes that don't send sums, in case that they have entries soon.
-SEND_TO_ALL_EVERY_S: t.Final = 1.0
-EXPIRE_EVERY_S: t.Final = 0.1
+BROADCAST_INTERVAL_S: t.Final = 1.0
+EXPIRY_INTERVAL_S: t.Final = 0.1
 # Entries that start together become one piece of news.
-GATHER_S: t.Final = 0.05
+ATTACH_BATCH_S: t.Final = 0.05
 
 
 class WatchServer:
@@ -45,36 +45,36 @@
     def __init__(
         self,
         transport: ports.Transport,
-        me: messages.ControlNode,
-        news: _news.News,
-        in_touch: cabc.Callable[[], bool],
+        local_node: messages.ControlNode,
+        view: _news.ClusterView,
+        has_leader_contact: cabc.Callable[[], bool],
         leader: cabc.Callable[[], str],
         clock: cabc.Callable[[], float],
     ) -> None:
         self.transport = transport
-        self.me = me
-        self.news = news
-        self.in_touch = in_touch
+        self.local_node = local_node
+        self.view = view
+        self.has_leader_contact = has_leader_contact
         self.leader = leader
         self.clock = clock
         self.loads = decisions.LoadAggregator(
-            me.address, me.data_centre, random.getrandbits(32)
+            local_node.address, local_node.data_centre, random.getrandbits(32)
         )
-        self.attached = _registry.EntryRegistry()
-        self.on_attached: list[cabc.Callable[[], None]] = []
-        self.published = 0
-        self.publishing = False
-        self.attaching = False
-        self.unsent = asyncio.Event()
+        self.registry = _registry.EntryRegistry()
+        self.attach_hooks: list[cabc.Callable[[], None]] = []
+        self.published_number = 0
+        self.publish_scheduled = False
+        self.hooks_scheduled = False
+        self.reports_changed = asyncio.Event()
         self.has_sent_reports = False
-        self.sent_to_all_at = float('-inf')
+        self.broadcast_at = float('-inf')
         transport.handle(messages.Watch, self._on_watch)
         transport.handle(messages.LoadReport, self._on_load_report)
         transport.handle(messages.NodeLoad, self._on_node_load)
 
     def entries(self) -> list[messages.ListedEntry]:
         """Return the entries that are attached here."""
-        return self.attached.entries()
+        return self.registry.entries()
 
     async def run(self) -> None:
         """Exchange sums and drop silent entries until cancelled."""
@@ -83,32 +83,35 @@
     # Entries
 
     async def _on_watch(self, watch: messages.Watch) -> messages.WatchReply:
-        if self.attached.hear(watch.entry, self.clock()):
-            self._tell_attached()
-        if self.in_touch():
-            await self.news.wait(lambda: self._has_news(watch), watch.hold_s)
+        if self.registry.hear(watch.entry, self.clock()):
+            self._schedule_attach_hooks()
+        if self.has_leader_contact():
+            await self.view.wait(
+                lambda: self._has_changes(watch), watch.hold_s
+            )
         # Again, as late as can be: the process may have been suspended.
-        if self.in_touch():
-            reply = self.news.reply(watch.known)
+        if self.has_leader_contact():
+            reply = self.view.reply(watch.known)
         else:
-            core = self.news.core
+            core = self.view.core
             reply = messages.WatchReply('not_leader', self.leader(), core)
         return attrs.evolve(reply, loads=self._summary(watch))
 
-    def _tell_attached(self) -> None:
-        if not self.attaching:
-            self.attaching = True
+    def _schedule_attach_hooks(self) -> None:
+        if not self.hooks_scheduled:
+            self.hooks_scheduled = True
             loop = asyncio.get_running_loop()
-            loop.call_later(GATHER_S, self._run_hooks)
+            loop.call_later(ATTACH_BATCH_S, self._run_attach_hooks)
 
-    def _run_hooks(self) -> None:
-        self.attaching = False
-        for hook in self.on_attached:
+    def _run_attach_hooks(self) -> None:
+        self.hooks_scheduled = False
+        for hook in self.attach_hooks:
             hook()
 
-    def _has_news(self, watch: messages.Watch) -> bool:
-        return self.published > watch.known_loads or self.news.is_newer_than(
-            watch.known
+    def _has_changes(self, watch: messages.Watch) -> bool:
+        return (
+            self.published_number > watch.known_loads
+            or self.view.is_newer_than(watch.known)
         )
 
     def _summary(self, watch: messages.Watch) -> messages.LoadSummary | None:
@@ -133,7 +136,7 @@
             self._publish()
         else:
             self._publish_soon()
-        self.unsent.set()
+        self.reports_changed.set()
         return messages.Received()
 
     async def _on_node_load(self, load: messages.NodeLoad) -> None:
@@ -144,27 +147,27 @@
             self._publish_soon()
 
     def _publish_soon(self) -> None:
-        if not self.publishing:
-            self.publishing = True
+        if not self.publish_scheduled:
+            self.publish_scheduled = True
             loop = asyncio.get_running_loop()
-            loop.call_later(PUBLISH_EVERY_S, self._publish)
+            loop.call_later(PUBLISH_INTERVAL_S, self._publish)
 
     def _publish(self) -> None:
-        self.publishing = False
-        self.published = self.loads.number
-        self.news.notify()
+        self.publish_scheduled = False
+        self.published_number = self.loads.number
+        self.view.notify()
 
     async def _expire(self) -> None:
         while True:
-            await asyncio.sleep(EXPIRE_EVERY_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             now = self.clock()
-            gone = self.attached.expire(now)
-            for name in gone:
+            expired = self.registry.expire(now)
+            for name in expired:
                 self.loads.forget(name)
-            if gone:
-                node.log_decision('entries silent', entries=gone)
-                self._run_hooks()
-            if self.loads.expire(now) or gone:
+            if expired:
+                node.log_decision('entries silent', entries=expired)
+                self._run_attach_hooks()
+            if self.loads.expire(now) or expired:
                 self._publish_soon()
 
     # Other control processes
@@ -172,16 +175,16 @@
     async def _send_sums(self) -> None:
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(REFRESH_S):
-                    await self.unsent.wait()
-            self.unsent.clear()
+                async with asyncio.timeout(REFRESH_INTERVAL_S):
+                    await self.reports_changed.wait()
+            self.reports_changed.clear()
             # Once more without entries, or the others would go on counting
             # those that have left.
             has_reports = bool(self.loads.reports)
             if has_reports or self.has_sent_reports:
                 self._send_sum()
             self.has_sent_reports = has_reports
-            await asyncio.sleep(EXCHANGE_EVERY_S)
+            await asyncio.sleep(EXCHANGE_INTERVAL_S)
 
     def _send_sum(self) -> None:
         now = self.clock()
@@ -191,13 +194,13 @@
 
     def _receivers(self, now: float) -> set[str]:
         """Return the processes that have entries, or are likely to."""
-        to_all = now - self.sent_to_all_at > SEND_TO_ALL_EVERY_S
-        if to_all:
-            self.sent_to_all_at = now
-        likely = {
+        broadcast = now - self.broadcast_at > BROADCAST_INTERVAL_S
+        if broadcast:
+            self.broadcast_at = now
+        receivers = {
             known.address
-            for known in self.news.nodes
-            if to_all or not known.replica
+            for known in self.view.nodes
+            if broadcast or not known.replica
         }
-        likely.update(self.loads.live_nodes(now))
-        return likely - {self.me.address}
+        receivers.update(self.loads.live_nodes(now))
+        return receivers - {self.local_node.address}
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -9,7 +9,7 @@
 from bulrushhold import settings
 
 
-async def founded(core):
+async def start_core(core):
     peers = {name: core.address() for name in ('a', 'b', 'c')}
     for name, peer in peers.items():
         core.start(name, peer, peers)
@@ -24,7 +24,7 @@
     # knows the others only from a list that still names the lost one. If it
     # can't answer the leader, it never catches up, and the next lost disk
     # takes the last copy but one of what was acknowledged.
-    peers = await founded(core)
+    peers = await start_core(core)
     lost = next(n for n in 'abc' if core.running[n][0] is not core.leader())
     await core.stop(lost)
     newcomer = core.start('d', core.address(), contacts=peers.values())
@@ -43,7 +43,7 @@
 
 
 async def test_an_instance_that_lost_its_disk_becomes_a_voter_again(core):
-    peers = await founded(core)
+    peers = await start_core(core)
     lost = next(n for n in 'abc' if core.running[n][0] is not core.leader())
     await core.stop(lost)
     for file in (core.folder / lost).iterdir():
@@ -60,7 +60,7 @@
 
 
 async def test_a_newcomer_that_knows_one_follower_only_finds_the_leader(core):
-    peers = await founded(core)
+    peers = await start_core(core)
     follower = next(
         n for n in 'abc' if core.running[n][0] is not core.leader()
     )
@@ -90,8 +90,10 @@
 ):
     # Callers are told of control processes without a disk only. One of them
     # says which replica founds the log; the others find it through that.
-    monkeypatch.setattr('bulrushhold.control._relay.FOUND_AFTER_S', 0.1)
-    monkeypatch.setattr('bulrushhold.control._relay.LOOK_EVERY_S', 0.05)
+    monkeypatch.setattr('bulrushhold.control._relay.BOOTSTRAP_DELAY_S', 0.1)
+    monkeypatch.setattr(
+        'bulrushhold.control._relay.LEADER_CHECK_INTERVAL_S', 0.05
+    )
     address = str(core.address())
     transport = node.ZmqTransport(address)
     relay = control.Relay(transport, address, [address], appoints=True)
@@ -101,8 +103,8 @@
         core.start(name, core.address(), contacts=[contact], founds=True)
         for name in 'abc'
     ]
-    await core.until(lambda: any(server.founded for server in servers))
-    founders = [s for s in servers if s.founded]
+    await core.until(lambda: any(server.bootstrapped for server in servers))
+    founders = [s for s in servers if s.bootstrapped]
     assert len(founders) == 1
     name = founders[0].config.name
     peer = founders[0].config.peer
