--- a/src/bulrushhold/control/__init__.py
+++ b/src/bulrushhold/control/__init__.py
@@ -1,4 +1,4 @@
-"""The control process: one replica of the system's durable state."""
+"""The control process, which keeps a replica of the durable state."""
 
 from bulrushhold.control._calls import LeaderCalls
 from bulrushhold.control._fleetcontrol import FleetControl
--- a/src/bulrushhold/control/_calls.py
+++ b/src/bulrushhold/control/_calls.py
@@ -1,4 +1,4 @@
-"""Calls that only the leader can answer, from any control process."""
+"""Client for requests that only the leader can answer."""
 
 import asyncio
 import collections.abc as cabc
@@ -10,18 +10,17 @@
 from bulrushhold import ports
 
 FORWARD_TIMEOUT_S: t.Final = 0.7
-# Longer than an election. Operators that gave up meanwhile send again, and
-# the same map twice does no harm.
+# Longer than an election, so that a call survives a change of leader.
 CALL_TIMEOUT_S: t.Final = 2.5
 RETRY_INTERVAL_S: t.Final = 0.1
 
 
 class LeaderCalls:
-    """Asks the leader, wherever it is.
+    """Sends requests to the current leader and retries until a timeout.
 
     :param leader: returns the leader's address, or ``''``.
-    :param here: answers a request in this process, where it leads; else
-        returns ``None``.
+    :param handle_locally: answers a request in this process if it is the
+        leader, else returns ``None``.
     """
 
     def __init__(
@@ -39,10 +38,11 @@
     async def put_map(
         self, put: messages.RouteMapPut
     ) -> messages.RouteMapOutcome:
-        """Have a checked route map in the log.
+        """Commit a validated route map to the log.
 
-        :raises PeerError: where that isn't known to have happened. The
-            same map sent again does no harm.
+        The call is idempotent.
+
+        :raises PeerError: if the map is not known to be committed.
         """
         reply = await self._request_leader(
             messages.Proposal(messages.encode(put))
@@ -50,16 +50,16 @@
         return messages.decode(reply.result)
 
     async def read_map(self) -> messages.RouteMapReply:
-        """Return the newest route map, as its operator sent it.
+        """Return the newest route map as the operator sent it.
 
-        :raises PeerError: where it isn't sure which one is the newest.
+        :raises PeerError: if no leader confirmed in time which one it is.
         """
         return await self._request_leader(messages.RouteMapRead())
 
     async def _request_leader(self, request: messages.Message) -> t.Any:
         operation = type(request).__name__
         deadline = time.monotonic() + CALL_TIMEOUT_S
-        last_error = errors.PeerError('no leader is known', operation)
+        last_error = errors.PeerError('the leader is unknown', operation)
         while time.monotonic() < deadline:
             reply = await self.handle_locally(request)
             leader = self.leader()
--- a/src/bulrushhold/control/_fleetcontrol.py
+++ b/src/bulrushhold/control/_fleetcontrol.py
@@ -1,4 +1,4 @@
-"""What serves a fleet of entries at one control process."""
+"""Combines the services that a control process offers to entries."""
 
 import asyncio
 
@@ -14,11 +14,11 @@
 
 
 class FleetControl:
-    """The news of control and the load reports, at a replica.
+    """Cluster view and load reports, served by a replica.
 
-    :param data_centre: of this process.
+    :param data_centre: the data centre of this process.
     :param source: reads the platform's list of backend servers.
-    :param link_mbps: of this instance.
+    :param link_mbps: network bandwidth of this instance.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
 
     @property
     def calls(self) -> _calls.LeaderCalls:
-        """Operators' calls, answered by the leader."""
+        """The client for requests that only the leader answers."""
         return self.leader.calls
 
     async def run(self) -> None:
@@ -73,7 +73,7 @@
 
 
 class FleetRelay:
-    """The news of control and the load reports, without a replica."""
+    """Cluster view and load reports, served by a relay without a replica."""
 
     def __init__(
         self, relay: _relay.Relay, data_centre: str, link_mbps: float = 0.0
--- a/src/bulrushhold/control/_follower.py
+++ b/src/bulrushhold/control/_follower.py
@@ -1,4 +1,4 @@
-"""Follows the leader's news from another control process."""
+"""Copies the leader's cluster view to another control process."""
 
 import asyncio
 import collections.abc as cabc
@@ -12,21 +12,21 @@
 from bulrushhold import ports
 
 LONG_POLL_S: t.Final = 0.3
-# Over a hold by what a reply takes on a slow link and a busy leader.
+# Added to the long poll for a slow link or a busy leader.
 REPLY_MARGIN_S: t.Final = 0.3
 RETRY_INTERVAL_S: t.Final = 0.05
-# Longer than an election: entries stay meanwhile. Short enough for them to
-# find out elsewhere what operators were acknowledged.
+# Longer than an election, so that entries stay attached during one. Short
+# enough for entries to get committed changes from another process in time.
 LEADER_CONTACT_TIMEOUT_S: t.Final = 1.4
 
 
 class LeaderFollower:
-    """Holds a long poll at the leader, and names the entries here to it.
+    """Long-polls the leader and reports the locally attached entries to it.
 
-    :param me: this process.
-    :param leader: returns the leader's address; this process's own, or
-        ``''``, where there is none to follow.
-    :param entries: returns the entries that are attached here.
+    :param local_node: this process.
+    :param leader: returns the leader's address, or ``''`` if it is unknown.
+        Nothing is polled if it is this process's own address.
+    :param entries: returns the entries that are attached to this process.
     """
 
     def __init__(
@@ -48,18 +48,18 @@
 
     @property
     def has_leader_contact(self) -> bool:
-        """Whether a leader has answered lately."""
+        """Whether a leader answered within the contact timeout."""
         return self.clock() - self.last_reply_at < LEADER_CONTACT_TIMEOUT_S
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Poll the leader until cancelled."""
         while True:
             leader = self._remote_leader()
             if not leader or not await self._poll(leader):
                 await asyncio.sleep(RETRY_INTERVAL_S)
 
     def announce(self) -> None:
-        """Name the entries here to the leader, without waiting."""
+        """Send the attached entries to the leader without awaiting a reply."""
         leader = self._remote_leader()
         if leader:
             self.transport.send(leader, self._watch_request(0.0))
@@ -82,7 +82,7 @@
             )
         except errors.PeerError as error:
             loguru.logger.bind(peer=leader, error=str(error)).warning(
-                'leader lost'
+                'leader unreachable'
             )
             return False
         if reply.status != 'done':
--- a/src/bulrushhold/control/_leader.py
+++ b/src/bulrushhold/control/_leader.py
@@ -1,4 +1,4 @@
-"""Makes control's news while this process leads."""
+"""Publishes the cluster view while this process is the leader."""
 
 import asyncio
 import collections.abc as cabc
@@ -16,21 +16,20 @@
 from bulrushhold import node
 from bulrushhold import ports
 
-# Calls to the platform's list are limited for all readers together; a list
-# that lags by 0.8 s gains little from more.
+# The platform limits the rate of all readers of its list together.
 LIST_INTERVAL_S: t.Final = 0.4
 LIST_TIMEOUT_S: t.Final = 1.0
 LEADERSHIP_CHECK_INTERVAL_S: t.Final = 0.1
-# Control processes call again every 0.3 s at the latest.
+# Several long polls: control processes repeat theirs every 0.3 s.
 NODE_TIMEOUT_S: t.Final = 1.0
 
 
 class LeaderPublisher:
-    """The leader's side of control processes' long polls.
+    """Maintains the cluster view and answers other processes' long polls.
 
-    :param me: this process.
+    :param local_node: this process.
     :param source: reads the platform's list of backend servers.
-    :param attached: returns the entries that are attached to this process.
+    :param local_entries: returns the entries attached to this process.
     """
 
     def __init__(
@@ -59,7 +58,7 @@
         server.transport.handle(messages.RouteMapRead, self._on_read)
 
     async def run(self) -> None:
-        """Read the list and watch over entries while this one leads."""
+        """Poll the backend list and expire entries while leading."""
         next_list = 0.0
         while True:
             now = self._now()
@@ -72,7 +71,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether what this process says is what control says."""
+        """Whether this process holds the leader lease."""
         return self.server.replica.lease_holds(self._now())
 
     def _now(self) -> float:
@@ -86,7 +85,7 @@
         )
         expired = self.registry.expire(now)
         if expired:
-            node.log_decision('entries silent', entries=expired)
+            node.log_decision('entries expired', entries=expired)
         self._update_members(now)
 
     def _update_members(self, now: float) -> None:
@@ -120,7 +119,9 @@
             async with asyncio.timeout(LIST_TIMEOUT_S):
                 backends = await self.source.fetch()
         except (TimeoutError, errors.PeerError) as error:
-            loguru.logger.bind(error=str(error)).warning('list not read')
+            loguru.logger.bind(error=str(error)).warning(
+                'backend list not available'
+            )
             return
         view = self.view
         view.backends_at = self._now()
@@ -133,7 +134,7 @@
         view.backends = backends
         view.backends_version = f'{term}{self.backends_revision}'
         node.log_decision(
-            'list changed',
+            'backend list changed',
             version=view.backends_version,
             backends=len(backends),
             leaving=[b.ident for b in backends if b.leaving],
@@ -141,7 +142,7 @@
         view.notify()
 
     def announce(self) -> None:
-        """Take a change of the entries that are attached to this process."""
+        """Update the view after a change of the locally attached entries."""
         if self.is_leader:
             self._update_view(self._now())
 
@@ -163,8 +164,8 @@
         await self.view.wait(
             lambda: self.view.is_newer_than(watch.known), watch.hold_s
         )
-        # Again, as late as can be: while the call was held this process may
-        # have been suspended, and another may lead by now.
+        # Check the lease again: the process may have been suspended during
+        # the long poll and another one elected.
         if not self.is_leader:
             return self._not_leader()
         return self.view.reply(watch.known)
@@ -195,7 +196,7 @@
         )
 
     async def _handle_locally(self, request: messages.Message) -> t.Any:
-        """Answer as leader; ``None`` where another one has to."""
+        """Answer a request as leader, or return ``None`` if not leading."""
         if self.server.replica.role is not decisions.Role.LEADER:
             return None
         if isinstance(request, messages.Proposal):
--- a/src/bulrushhold/control/_news.py
+++ b/src/bulrushhold/control/_news.py
@@ -1,4 +1,4 @@
-"""What control says, as far as one control process knows it."""
+"""A control process's view of the cluster."""
 
 import asyncio
 import collections.abc as cabc
@@ -15,10 +15,10 @@
 class ClusterView:
     """The newest route map, backend servers, entries and control processes.
 
-    Made by the leader, and handed on by all other control processes with
-    the leader's versions.
+    The leader writes it; other control processes hold copies with the
+    leader's versions.
 
-    :param clock: seconds; goes on while the machine is suspended.
+    :param clock: returns seconds, including time spent suspended.
     """
 
     def __init__(self, clock: cabc.Callable[[], float]) -> None:
@@ -36,14 +36,14 @@
         self.changed = asyncio.Event()
 
     def notify(self) -> None:
-        """Wake the long polls that wait for news."""
+        """Wake the long polls that wait for a change."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def wait(
         self, ready: cabc.Callable[[], bool], hold_s: float
     ) -> None:
-        """Wait until ``ready``, for a bounded time."""
+        """Wait until ``ready()`` is true or the hold time is over."""
         deadline = self.clock() + min(hold_s, MAX_LONG_POLL_S)
         while not ready():
             remaining_s = deadline - self.clock()
@@ -55,7 +55,7 @@
                     await changed.wait()
 
     def is_newer_than(self, versions: messages.Known) -> bool:
-        """Whether a process that knows so much is to be answered."""
+        """Whether any part is newer than ``versions``."""
         return (
             self.map_version > versions.route_map
             or self.backends_version not in ('', versions.backends)
@@ -64,7 +64,7 @@
         )
 
     def reply(self, versions: messages.Known) -> messages.WatchReply:
-        """Return what a process doesn't know yet."""
+        """Return the parts that are newer than ``versions``."""
         newer_map = self.map_version > versions.route_map
         newer_backends = self.backends_version not in ('', versions.backends)
         newer_entries = self.entries_version not in ('', versions.entries)
@@ -84,7 +84,7 @@
         )
 
     def versions(self) -> messages.Known:
-        """Return the versions of all that is here."""
+        """Return the version of each part."""
         return messages.Known(
             self.map_version,
             self.backends_version,
@@ -93,11 +93,11 @@
         )
 
     def update(self, reply: messages.WatchReply) -> None:
-        """Take what the leader answered; wake long polls if it is news."""
+        """Apply a reply of the leader; wake long polls on a change."""
         versions = self.versions()
         if reply.core:
             self.core = reply.core
-        # Forward only: a leader that was just deposed may answer late.
+        # Ignore older versions: a deposed leader may answer late.
         if reply.route_map is not None:
             if reply.map_version > self.map_version:
                 self.route_map = reply.route_map
@@ -119,7 +119,7 @@
             self.notify()
 
     def update_nodes(self, nodes: list[messages.ControlNode]) -> None:
-        """Take the control processes that the leader hears of."""
+        """Replace the list of control processes."""
         if nodes != self.nodes:
             self.nodes = nodes
             text = '/'.join(sorted(map(str, nodes))).encode()
--- a/src/bulrushhold/control/_registry.py
+++ b/src/bulrushhold/control/_registry.py
@@ -1,4 +1,4 @@
-"""What entries are there, as a control process last heard of each."""
+"""Registry of live entries, kept by heartbeats."""
 
 import typing as t
 
@@ -6,22 +6,21 @@
 
 from bulrushhold import messages
 
-# Entries call again every 0.3 s at the latest: three lost calls. While an
-# entry that is gone is listed, callers go there and wait in vain.
+# Three missed long polls. Until then callers may be sent to a dead entry.
 ENTRY_TIMEOUT_S: t.Final = 1.0
-# Entries whose control process is gone have found another one by then.
+# Long enough for entries to move to another control process.
 RELAYED_ENTRY_TIMEOUT_S: t.Final = 2.0
-# A new leader hears of every entry within one long poll and a try at the
-# former leader; until then its list is short, and callers would be sent to a
-# few entries only.
+# A new leader learns of all entries within one long poll and one retry. Its
+# list is incomplete before, and would send all callers to a few entries.
 SETTLE_TIME_S: t.Final = 1.5
 
 
 @attrs.define
 class _EntryRecord:
-    """An entry, and when each source last named it.
+    """An entry and when each source last reported it.
 
-    :param sources: addresses of control processes; ``''`` for the entry.
+    :param last_seen: time by source: the address of a control process, or
+        ``''`` for the entry itself.
     """
 
     entry: messages.ListedEntry
@@ -29,7 +28,7 @@
 
 
 class EntryRegistry:
-    """Entries by name; without sockets, so that time is the caller's."""
+    """Live entries by name; the caller supplies the time."""
 
     def __init__(self) -> None:
         self.records: dict[str, _EntryRecord] = {}
@@ -38,7 +37,7 @@
         self.term = 0
 
     def lead(self, term: int, now: float) -> None:
-        """Begin anew as leader of ``term``; nothing is known yet."""
+        """Clear the registry if ``term`` is a new one."""
         if term != self.term:
             self.term = term
             self.term_started_at = now
@@ -48,9 +47,10 @@
     def hear(
         self, entry: messages.ListedEntry, now: float, source: str = ''
     ) -> bool:
-        """Take what an entry says of itself; return whether it is news.
+        """Record a heartbeat; return whether the entry is new or changed.
 
-        :param source: control process that names it, if not it itself.
+        :param source: the control process that reports the entry, or ``''``
+            for the entry itself.
         """
         record = self.records.setdefault(entry.name, _EntryRecord(entry))
         changed = not record.last_seen or record.entry != entry
@@ -65,7 +65,7 @@
         entries: list[messages.ListedEntry],
         now: float,
     ) -> bool:
-        """Take the entries at a control process; return whether it is news."""
+        """Record all entries of a control process; return if any changed."""
         changes = [self.hear(entry, now, source) for entry in entries]
         names = {entry.name for entry in entries}
         removed = [
@@ -78,7 +78,7 @@
         return self._drop_stale() or any(changes)
 
     def expire(self, now: float) -> list[str]:
-        """Drop entries that have been silent; return their names."""
+        """Drop entries whose heartbeats timed out; return their names."""
         before = set(self.records)
         for record in self.records.values():
             record.last_seen = {
@@ -102,13 +102,13 @@
         return bool(removed)
 
     def settled(self, now: float) -> bool:
-        """Whether every entry had the time to call."""
+        """Whether the term is old enough for all entries to have reported."""
         return now - self.term_started_at > SETTLE_TIME_S
 
     def version(self, now: float) -> str:
-        """Return the version of the list; ``''`` while it is not settled."""
+        """Return the version of the list, or ``''`` before it has settled."""
         return f'{self.term}.{self.revision}' if self.settled(now) else ''
 
     def entries(self) -> list[messages.ListedEntry]:
-        """Return all entries, by name."""
+        """Return all entries, sorted by name."""
         return [self.records[name].entry for name in sorted(self.records)]
--- a/src/bulrushhold/control/_relay.py
+++ b/src/bulrushhold/control/_relay.py
@@ -1,7 +1,7 @@
-"""A control process without a disk: knows where the others are.
+"""A control process without a disk, which forwards to the leader.
 
-Operators, entries and newcomers may be told of any control process. One
-without a disk keeps nothing, and so has no vote; it leads them on.
+Operators, entries and joining replicas may be configured with the address
+of any control process. A relay stores nothing and has no vote.
 """
 
 import asyncio
@@ -16,20 +16,20 @@
 from bulrushhold import ports
 
 LEADER_CHECK_INTERVAL_S: t.Final = 0.3
-# Entries wait for news while no leader is known.
+# Shorter, because entries get no updates while the leader is unknown.
 LEADER_SEARCH_INTERVAL_S: t.Final = 0.1
 REQUEST_TIMEOUT_S: t.Final = 0.3
-# All instances start within 0.3 s of each other, and take as long to start.
+# Time for all replicas to ask to join, so that the choice is deterministic.
 BOOTSTRAP_DELAY_S: t.Final = 0.7
 
 
 class Relay:
-    """Follows control, and names its leader to whoever asks.
+    """Tracks the leader and forwards requests to it.
 
     :param peer: this process's own address.
-    :param contacts: control processes, with or without a disk.
-    :param appoints: this is the first start of all, and this process the
-        one that says which replica founds the log.
+    :param contacts: addresses of control processes, replicas or relays.
+    :param bootstraps: whether this is the first start of the cluster, and
+        this relay selects the replica that bootstraps the log.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         transport.handle(messages.CoreReply, self._on_core_reply)
 
     async def run(self) -> None:
-        """Look for the leader, again and again."""
+        """Track the leader until cancelled."""
         while True:
             await self._find_leader()
             self._bootstrap_log()
@@ -92,15 +92,15 @@
 
     def _set_leader(self, leader: str) -> None:
         if leader != self.leader:
-            node.log_decision('control found', peer=leader)
+            node.log_decision('leader found', peer=leader)
         self.leader = leader
         self.appoints = False
 
     def _bootstrap_log(self) -> None:
-        """Have the first replica by address found the log.
+        """Order the replica with the lowest address to bootstrap the log.
 
-        Only one may, and always the same one: a second log beside the
-        first would take acknowledgements that nobody could find again.
+        Only one replica is ever chosen: a second log would accept writes
+        that are lost once the other log is used.
         """
         if not self.appoints or self.first_join_at is None:
             return
@@ -108,7 +108,9 @@
             return
         if not self.bootstrap_address:
             self.bootstrap_address = min(self.join_candidates.values())
-            node.log_decision('founder appointed', peer=self.bootstrap_address)
+            node.log_decision(
+                'bootstrap replica selected', peer=self.bootstrap_address
+            )
         self.transport.send(self.bootstrap_address, messages.Found())
 
     async def _on_join(self, request: messages.JoinRequest) -> None:
--- a/src/bulrushhold/control/_server.py
+++ b/src/bulrushhold/control/_server.py
@@ -1,4 +1,4 @@
-"""The control process: drives one replica of the replicated log."""
+"""Runs one replica of the replicated log: disk, network and timers."""
 
 import asyncio
 import collections.abc as cabc
@@ -18,13 +18,12 @@
 
 PROPOSAL_TIMEOUT_S: t.Final = 3.0
 JOIN_INTERVAL_S: t.Final = 0.5
-# While there are fewer voters than wanted, so that a new log is complete
-# within a second or two.
+# While there are too few voters, so that a new log soon has all of them.
 BOOTSTRAP_JOIN_INTERVAL_S: t.Final = 0.1
-# After this time a new log makes do with the replicas that have come.
+# A new log accepts commands after this time even with too few voters.
 BOOTSTRAP_TIMEOUT_S: t.Final = 6.0
-# Longer than an election, so that a replica asks to join only where it has
-# really been left out, such as after a long freeze.
+# Longer than an election, so that only a replica that was removed from the
+# configuration asks to join again.
 REJOIN_AFTER_S: t.Final = 2.5
 MIN_WAIT_S: t.Final = 0.001
 CLAIM_EXPIRY_INTERVAL_S: t.Final = 30.0
@@ -40,17 +39,17 @@
 
 @attrs.define
 class _PendingProposal:
-    """A proposal whose entry isn't applied yet."""
+    """A proposal whose log entry is not applied yet."""
 
     term: int
     future: 'asyncio.Future[bytes | None]'
 
 
 class ControlServer:
-    """Saves, sends and applies what its replica decides.
+    """Persists, sends and applies the output of a replica.
 
-    :param replica: the pure decisions.
-    :param state: what committed commands made.
+    :param replica: the consensus algorithm, without I/O.
+    :param state: the state machine that committed commands are applied to.
     """
 
     def __init__(
@@ -94,16 +93,16 @@
         transport.handle(messages.StatusRead, self._on_status_read)
 
     async def run(self) -> None:
-        """Serve until cancelled, or until the log was founded here.
+        """Serve until cancelled or until this replica bootstraps the log.
 
-        :raises StorageError: where the disk fails; the others go on.
+        :raises StorageError: if the disk fails; other replicas take over.
         """
         while True:
             self.replica.tick(self.clock())
             self._maintain_membership()
             self.process_ready()
-            # Not wait_for: in Python 3.11 it may return a result and forget
-            # a cancellation that came with it; the process would never end.
+            # asyncio.wait_for of Python 3.11 may swallow a cancellation that
+            # arrives together with the result.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self._seconds_to_wakeup()):
                     await self.work.wait()
@@ -117,7 +116,7 @@
         return max(MIN_WAIT_S, delay_s)
 
     def process_ready(self) -> None:
-        """Do all that the replica wants done: save, send, apply."""
+        """Save, send and apply all pending output of the replica."""
         while True:
             self.replica.flush(self.clock())
             ready = self.replica.take_ready()
@@ -152,10 +151,10 @@
             self.reported_config, peer
         )
         if address is None:
-            # A voter that this replica's log doesn't know yet.
+            # A voter that is not yet in this replica's log.
             name = peer.partition('.')[0]
-            known = self.config.replicas.get(name)
-            address = str(known) if known else None
+            configured = self.config.replicas.get(name)
+            address = str(configured) if configured else None
         if address:
             self.transport.send(address, message)
 
@@ -182,9 +181,9 @@
         self.store.save_snapshot(snapshot, self.replica.log.entries[:saved])
         self.entries_since_snapshot = 0
         self.bytes_since_snapshot = 0
-        loguru.logger.bind(index=index).info('snapshot')
+        loguru.logger.bind(index=index).info('snapshot written')
 
-    # Members
+    # Membership
 
     def _maintain_membership(self) -> None:
         now = self.clock()
@@ -204,11 +203,10 @@
             self._request_join()
 
     def _advertise_leader(self) -> None:
-        """Tell contacts that aren't members where control is.
+        """Send leader and membership to contacts that are not members.
 
-        Relays keep nothing. After a loss of all power, one whose seeds name
-        relays only could ask nobody that knows a replica, and entries could
-        ask nobody but such relays.
+        Relays store nothing. After a full restart, relays configured with
+        the addresses of relays only could not find a replica otherwise.
         """
         config = self.replica.config
         reply = messages.CoreReply(self.replica.leader_address(), config)
@@ -223,14 +221,14 @@
             self.replica.ident, str(self.config.peer)
         )
         config = self.replica.config
-        known = {
+        addresses = {
             *map(str, self.config.replicas.values()),
             *map(str, self.contacts),
             *config.voters.values(),
             *config.learners.values(),
             *self.reported_config.voters.values(),
         }
-        for address in sorted(known - {str(self.config.peer)}):
+        for address in sorted(addresses - {str(self.config.peer)}):
             self.transport.send(address, request)
 
     def _promote_learners(self) -> None:
@@ -247,7 +245,7 @@
 
     async def _on_join(self, request: messages.JoinRequest) -> None:
         if self.replica.role is not decisions.Role.LEADER:
-            # The newcomer may know none but this replica, from an old list.
+            # Forward it: the sender may know no other replica than this one.
             leader = self.replica.leader_address()
             if leader and leader != str(self.config.peer):
                 self.transport.send(leader, request)
@@ -258,7 +256,7 @@
         if config is not None and self.replica.change_config(config):
             node.log_decision(
                 'membership',
-                reason='an empty replica joins as a learner',
+                reason='an empty replica joined as a learner',
                 voters=sorted(config.voters),
                 learners=sorted(config.learners),
             )
@@ -276,15 +274,15 @@
 
     async def _on_bootstrap_order(self, order: messages.Found) -> None:
         del order
-        durable = self.replica.term or self.replica.last_index
-        if not self.config.founds or durable or self.replica.config.voters:
+        has_log = self.replica.term or self.replica.last_index
+        if not self.config.founds or has_log or self.replica.config.voters:
             return
         voters = {self.replica.ident: str(self.config.peer)}
         identity = node.Identity(
             self.replica.ident, messages.Config(voters=voters)
         )
         self.store.write_identity(identity)
-        node.log_decision('log founded', replica=self.replica.ident)
+        node.log_decision('log bootstrapped', replica=self.replica.ident)
         self.bootstrapped = True
         self.work.set()
 
@@ -310,7 +308,7 @@
         return await self.propose(proposal.command)
 
     async def propose(self, command: bytes) -> messages.ProposalReply:
-        """Have a command committed, as leader, and return its result."""
+        """Commit a command, if this replica leads, and return its result."""
         if self._is_bootstrapping():
             return messages.ProposalReply('unknown')
         proposed = self.replica.propose(command)
@@ -337,10 +335,10 @@
         return messages.ProposalReply('done', result=result)
 
     def _is_bootstrapping(self) -> bool:
-        """Whether a new log has too few replicas to promise anything.
+        """Whether a new log has too few voters to accept commands.
 
-        It begins with one voter. What that one alone acknowledged would
-        be gone with its disk.
+        A command acknowledged by the first voter alone would be lost with
+        its disk.
         """
         within_timeout = self.clock() - self.started_at < BOOTSTRAP_TIMEOUT_S
         return (
@@ -425,29 +423,29 @@
 def open_replica(
     config: settings.Control, store: node.FileLog
 ) -> tuple[decisions.Durable, str]:
-    """Read the data folder; an empty one gets a new identity.
+    """Read the data folder; assign a new identity if it is empty.
 
-    :returns: what the disk holds, and the replica's identity.
-    :raises StorageError: where the folder can't be trusted.
+    :returns: the durable state and the replica's identity.
+    :raises StorageError: if the folder is damaged or incomplete.
     """
     identity = store.identity()
     if identity is None:
-        # Never a founder: a lost disk that founded the log again under its
-        # old name could vote twice in one term and undo what was committed.
+        # Always a new identity: a replica that lost its disk and kept its
+        # old one could vote twice in a term and undo committed entries.
         identity = node.Identity(decisions.new_identity(config.name))
         store.write_identity(identity)
     return store.load(identity.founding), identity.replica
 
 
 def found(config: settings.Control, store: node.FileLog) -> str:
-    """Make this data folder one of the first members of a new log.
+    """Bootstrap a new log with the configured replicas as its voters.
 
-    :raises StorageError: where the folder is already in use.
+    :raises StorageError: if the data folder is already in use.
     """
     if store.identity() is not None:
         raise errors.StorageError(
             'the data folder already belongs to a replica',
-            'found',
+            'bootstrap',
             str(store.folder),
         )
     voters = {
--- a/src/bulrushhold/control/_watch.py
+++ b/src/bulrushhold/control/_watch.py
@@ -1,4 +1,4 @@
-"""Serves the entries at one control process: news and load reports."""
+"""Serves cluster view and load reports to the attached entries."""
 
 import asyncio
 import collections.abc as cabc
@@ -15,31 +15,30 @@
 from bulrushhold import node
 from bulrushhold import ports
 
-# Reports come with every stream that begins; each batch costs a message for
-# each entry. A prompt is read for many times as long.
+# Batches load changes, as each update is a message to every attached entry.
 PUBLISH_INTERVAL_S: t.Final = 0.15
-# Sums go to a few processes only.
+# Minimum time between two sums sent to other control processes.
 EXCHANGE_INTERVAL_S: t.Final = 0.05
-# Without changes, so that others know that this process lives.
+# Sent as a heartbeat when nothing has changed.
 REFRESH_INTERVAL_S: t.Final = 0.1
-# Processes that don't send sums, in case that they have entries soon.
+# Includes processes without entries, which may get some soon.
 BROADCAST_INTERVAL_S: t.Final = 1.0
 EXPIRY_INTERVAL_S: t.Final = 0.1
-# Entries that start together become one piece of news.
+# Batches entries that attach at the same time.
 ATTACH_BATCH_S: t.Final = 0.05
 
 
 class WatchServer:
-    """Answers entries' long polls, and exchanges load with its peers.
+    """Answers entries' long polls and exchanges load with its peers.
 
-    Load reports need no agreement: they go from each entry to one control
-    process of its data centre, and from there as sums to the others, so that
-    no process hears of every entry, and none is needed by all.
+    Load reports bypass the replicated log: each entry sends them to one
+    control process of its data centre, which sends their sum to its peers.
 
-    :param me: this process.
-    :param news: what control says.
-    :param in_touch: whether that is what control says now.
-    :param leader: returns the address to be named while it isn't.
+    :param local_node: this process.
+    :param view: the cluster view that is served.
+    :param has_leader_contact: returns whether the view is current.
+    :param leader: returns the address that entries are redirected to while
+        the view is not current.
     """
 
     def __init__(
@@ -73,11 +72,11 @@
         transport.handle(messages.NodeLoad, self._on_node_load)
 
     def entries(self) -> list[messages.ListedEntry]:
-        """Return the entries that are attached here."""
+        """Return the entries that are attached to this process."""
         return self.registry.entries()
 
     async def run(self) -> None:
-        """Exchange sums and drop silent entries until cancelled."""
+        """Exchange load sums and expire entries until cancelled."""
         await asyncio.gather(self._expire(), self._send_sums())
 
     # Entries
@@ -89,7 +88,7 @@
             await self.view.wait(
                 lambda: self._has_changes(watch), watch.hold_s
             )
-        # Again, as late as can be: the process may have been suspended.
+        # Check again: the process may have been suspended during the poll.
         if self.has_leader_contact():
             reply = self.view.reply(watch.known)
         else:
@@ -119,7 +118,7 @@
         if self.loads.number == known:
             return None
         if self.loads.number < known:
-            # The number was given before this process started.
+            # The number is from a former start of this process.
             known = 0
         return self.loads.others(watch.entry.name, known, self.clock())
 
@@ -140,10 +139,10 @@
         return messages.Received()
 
     async def _on_node_load(self, load: messages.NodeLoad) -> None:
-        known = self.loads.number
+        previous = self.loads.number
         if self.loads.take_node(load, self.clock()):
             self._publish()
-        elif self.loads.number != known:
+        elif self.loads.number != previous:
             self._publish_soon()
 
     def _publish_soon(self) -> None:
@@ -165,7 +164,7 @@
             for name in expired:
                 self.loads.forget(name)
             if expired:
-                node.log_decision('entries silent', entries=expired)
+                node.log_decision('entries expired', entries=expired)
                 self._run_attach_hooks()
             if self.loads.expire(now) or expired:
                 self._publish_soon()
@@ -178,8 +177,8 @@
                 async with asyncio.timeout(REFRESH_INTERVAL_S):
                     await self.reports_changed.wait()
             self.reports_changed.clear()
-            # Once more without entries, or the others would go on counting
-            # those that have left.
+            # Send one empty sum after the last entry has left; otherwise
+            # peers would keep counting its load.
             has_reports = bool(self.loads.reports)
             if has_reports or self.has_sent_reports:
                 self._send_sum()
@@ -193,14 +192,14 @@
             self.transport.send(address, load)
 
     def _receivers(self, now: float) -> set[str]:
-        """Return the processes that have entries, or are likely to."""
+        """Return the addresses of processes that have or may get entries."""
         broadcast = now - self.broadcast_at > BROADCAST_INTERVAL_S
         if broadcast:
             self.broadcast_at = now
         receivers = {
-            known.address
-            for known in self.view.nodes
-            if broadcast or not known.replica
+            peer.address
+            for peer in self.view.nodes
+            if broadcast or not peer.replica
         }
         receivers.update(self.loads.live_nodes(now))
         return receivers - {self.local_node.address}
