--- a/src/bulrushhold/composition/_forwarding.py
+++ b/src/bulrushhold/composition/_forwarding.py
@@ -92,7 +92,7 @@
             crashers,
             admission,
         )
-        self.metrics = node.make_served_metrics('bulrushhold_entry')
+        self.metrics = node.make_prometheus_metrics('bulrushhold_entry')
         parts = forwarding.Parts(
             placement,
             self.client,
--- a/src/bulrushhold/node/__init__.py
+++ b/src/bulrushhold/node/__init__.py
@@ -5,7 +5,7 @@
 from bulrushhold.node._filelog import Identity
 from bulrushhold.node._logs import configure as configure_logs
 from bulrushhold.node._logs import decision as log_decision
-from bulrushhold.node._served import make as make_served_metrics
+from bulrushhold.node._served import make as make_prometheus_metrics
 from bulrushhold.node._served import ServedMetrics
 from bulrushhold.node._statsd import make as make_metrics
 from bulrushhold.node._statsd import NoMetrics
@@ -21,5 +21,5 @@
     'configure_logs',
     'log_decision',
     'make_metrics',
-    'make_served_metrics',
+    'make_prometheus_metrics',
 ]
--- a/src/bulrushhold/node/_filelog.py
+++ b/src/bulrushhold/node/_filelog.py
@@ -45,8 +45,8 @@
     entries: list[messages.LogEntry]
 
 
-_RECORDS = msgspec.msgpack.Decoder(_Record)
-_SNAPSHOTS = msgspec.msgpack.Decoder(messages.InstallSnapshot)
+_RECORD_DECODER = msgspec.msgpack.Decoder(_Record)
+_SNAPSHOT_DECODER = msgspec.msgpack.Decoder(messages.InstallSnapshot)
 
 
 class FileLog(ports.LogStore):
@@ -75,7 +75,9 @@
             if self.log_path.exists() or self.snapshot_path.exists():
                 raise self._error('identity is missing', self.identity_path)
             return None
-        payloads, _ = self._records(data, self.identity_path, torn=False)
+        payloads, _ = self._read_records(
+            data, self.identity_path, allow_torn_tail=False
+        )
         try:
             return msgspec.msgpack.decode(payloads[0], type=Identity)
         except (msgspec.DecodeError, IndexError) as error:
@@ -85,7 +87,7 @@
         """Store the identity of a new replica."""
         self.folder.mkdir(parents=True, exist_ok=True)
         payload = msgspec.msgpack.encode(identity)
-        self._replace(self.identity_path, _frame(payload))
+        self._replace(self.identity_path, _encode_record(payload))
 
     def load(self, founding: messages.Config) -> decisions.Durable:
         """Read snapshot and log; cut a torn tail.
@@ -97,13 +99,15 @@
         if snapshot is not None:
             durable.snapshot = self._load_snapshot(snapshot)
         data = self._read(self.log_path) or b''
-        payloads, good = self._records(data, self.log_path, torn=True)
+        payloads, valid_length = self._read_records(
+            data, self.log_path, allow_torn_tail=True
+        )
         for payload in payloads:
-            self._replay(_RECORDS.decode(payload), durable)
+            self._replay(_RECORD_DECODER.decode(payload), durable)
         if durable.snapshot is not None:
             durable.term = max(durable.term, durable.snapshot.term)
         self.term, self.vote = durable.term, durable.vote
-        self._open(good)
+        self._open_log(valid_length)
         return durable
 
     def save(
@@ -114,7 +118,7 @@
         payload = msgspec.msgpack.encode(_Record(term, vote, entries))
         try:
             assert self.file is not None
-            _write_all(self.file.fileno(), _frame(payload))
+            _write_all(self.file.fileno(), _encode_record(payload))
             os.fdatasync(self.file.fileno())
         except OSError as error:
             # After a failed sync the kernel may have dropped the pages and
@@ -131,13 +135,16 @@
         whose entries up to the snapshot are passed over on loading.
         """
         self._replace(
-            self.snapshot_path, _frame(msgspec.msgpack.encode(snapshot))
+            self.snapshot_path,
+            _encode_record(msgspec.msgpack.encode(snapshot)),
         )
         record = _Record(self.term, self.vote, tail)
         if self.file is not None:
             self.file.close()
-        self._replace(self.log_path, _frame(msgspec.msgpack.encode(record)))
-        self._open(self.log_path.stat().st_size)
+        self._replace(
+            self.log_path, _encode_record(msgspec.msgpack.encode(record))
+        )
+        self._open_log(self.log_path.stat().st_size)
 
     def close(self) -> None:
         """Close the log file."""
@@ -146,19 +153,21 @@
             self.file = None
 
     def _load_snapshot(self, data: bytes) -> messages.InstallSnapshot:
-        payloads, _ = self._records(data, self.snapshot_path, torn=False)
+        payloads, _ = self._read_records(
+            data, self.snapshot_path, allow_torn_tail=False
+        )
         try:
-            return _SNAPSHOTS.decode(payloads[0])
+            return _SNAPSHOT_DECODER.decode(payloads[0])
         except (msgspec.DecodeError, IndexError) as error:
             raise self._error('damaged', self.snapshot_path) from error
 
     def _replay(self, record: _Record, durable: decisions.Durable) -> None:
         durable.term, durable.vote = record.term, record.vote
-        first = durable.snapshot.index if durable.snapshot else 0
+        snapshot_index = durable.snapshot.index if durable.snapshot else 0
         for entry in record.entries:
-            if entry.index <= first:
+            if entry.index <= snapshot_index:
                 continue
-            position = entry.index - first - 1
+            position = entry.index - snapshot_index - 1
             if position > len(durable.entries):
                 raise self._error(
                     f'entry {entry.index} follows a gap', self.log_path
@@ -166,8 +175,8 @@
             del durable.entries[position:]
             durable.entries.append(entry)
 
-    def _records(
-        self, data: bytes, path: pathlib.Path, *, torn: bool
+    def _read_records(
+        self, data: bytes, path: pathlib.Path, *, allow_torn_tail: bool
     ) -> tuple[list[bytes], int]:
         """Return the payloads and the length of the good part.
 
@@ -178,16 +187,18 @@
         payloads: list[bytes] = []
         offset = 0
         while offset < len(data):
-            payload = _payload_at(data, offset)
+            payload = _decode_record_at(data, offset)
             if payload is None:
-                if torn and not _any_record_after(data, offset):
+                if allow_torn_tail and not _has_valid_record_after(
+                    data, offset
+                ):
                     break
                 raise self._error(f'damaged at offset {offset}', path)
             payloads.append(payload)
             offset += _HEADER.size + len(payload)
         return payloads, offset
 
-    def _open(self, length: int) -> None:
+    def _open_log(self, length: int) -> None:
         try:
             # Unbuffered: what a full disk refused would else be written
             # again when the file is closed, and fail there.
@@ -207,23 +218,23 @@
             raise self._error(str(error), path) from error
 
     def _replace(self, path: pathlib.Path, data: bytes) -> None:
-        fresh = path.with_suffix('.new')
+        temporary = path.with_suffix('.new')
         try:
-            with open(fresh, 'wb') as file:
+            with open(temporary, 'wb') as file:
                 file.write(data)
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(fresh, path)
+            os.replace(temporary, path)
             self._sync_folder()
         except OSError as error:
             raise self._error(str(error), path) from error
 
     def _sync_folder(self) -> None:
-        handle = os.open(self.folder, os.O_RDONLY)
+        descriptor = os.open(self.folder, os.O_RDONLY)
         try:
-            os.fsync(handle)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
+            os.close(descriptor)
 
     def _error(self, reason: str, path: pathlib.Path) -> errors.StorageError:
         return errors.StorageError(reason, 'storage', str(path))
@@ -234,11 +245,11 @@
         data = data[os.write(descriptor, data) :]
 
 
-def _frame(payload: bytes) -> bytes:
+def _encode_record(payload: bytes) -> bytes:
     return _HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def _payload_at(data: bytes, offset: int) -> bytes | None:
+def _decode_record_at(data: bytes, offset: int) -> bytes | None:
     start = offset + _HEADER.size
     if start > len(data):
         return None
@@ -249,9 +260,9 @@
     return payload if zlib.crc32(payload) == checksum else None
 
 
-def _any_record_after(data: bytes, offset: int) -> bool:
+def _has_valid_record_after(data: bytes, offset: int) -> bool:
     """Whether a good record stands anywhere behind a bad one."""
     return any(
-        _payload_at(data, start) is not None
+        _decode_record_at(data, start) is not None
         for start in range(offset + 1, len(data) - _HEADER.size)
     )
--- a/src/bulrushhold/node/_logs.py
+++ b/src/bulrushhold/node/_logs.py
@@ -16,9 +16,9 @@
 import loguru
 
 # 300 lines of 300 bytes are 90 KB/s, and about 2 % of a core.
-LINES_PER_S: t.Final = 300
-QUEUE_LINES: t.Final = 2000
-FLUSH_S: t.Final = 1.0
+MAX_LINES_PER_S: t.Final = 300
+MAX_QUEUED_LINES: t.Final = 2000
+FLUSH_TIMEOUT_S: t.Final = 1.0
 
 
 class LineWriter:
@@ -35,9 +35,9 @@
     ) -> None:
         self.descriptor = descriptor
         self.clock = clock
-        self.lines: queue.Queue[str | None] = queue.Queue(QUEUE_LINES)
-        self.second = 0
-        self.in_second = 0
+        self.queue: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
+        self.current_second = 0
+        self.lines_this_second = 0
         self.dropped = 0
         self.thread = threading.Thread(target=self._write, daemon=True)
         self.thread.start()
@@ -45,36 +45,36 @@
     def put(self, line: str) -> None:
         """Queue a line, or count it as dropped."""
         second = int(self.clock())
-        if second != self.second:
-            self.second, self.in_second = second, 0
-            self._tell_dropped()
-        self.in_second += 1
-        if self.in_second > LINES_PER_S:
+        if second != self.current_second:
+            self.current_second, self.lines_this_second = second, 0
+            self._report_dropped()
+        self.lines_this_second += 1
+        if self.lines_this_second > MAX_LINES_PER_S:
             self.dropped += 1
             return
-        self._queue(line)
+        self._enqueue(line)
 
     def close(self) -> None:
         """Write what is queued, for a short while at most."""
         try:
-            self.lines.put_nowait(None)
+            self.queue.put_nowait(None)
         except queue.Full:
             return
-        self.thread.join(FLUSH_S)
+        self.thread.join(FLUSH_TIMEOUT_S)
 
-    def _queue(self, line: str) -> None:
+    def _enqueue(self, line: str) -> None:
         try:
-            self.lines.put_nowait(line)
+            self.queue.put_nowait(line)
         except queue.Full:
             self.dropped += 1
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         if self.dropped:
             count, self.dropped = self.dropped, 0
-            self._queue(json.dumps({'message': 'lines dropped', 'n': count}))
+            self._enqueue(json.dumps({'message': 'lines dropped', 'n': count}))
 
     def _write(self) -> None:
-        while (line := self.lines.get()) is not None:
+        while (line := self.queue.get()) is not None:
             data = line.encode() + b'\n'
             try:
                 while data:
--- a/src/bulrushhold/node/_served.py
+++ b/src/bulrushhold/node/_served.py
@@ -7,8 +7,8 @@
 from bulrushhold import ports
 
 # Seconds; from a plain answer to a long stream.
-BUCKETS = (0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
-_UNFIT = re.compile('[^a-zA-Z0-9_]')
+BUCKETS_S = (0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
+_INVALID_CHARACTERS = re.compile('[^a-zA-Z0-9_]')
 
 
 class ServedMetrics(ports.Metrics):
@@ -29,7 +29,7 @@
         counter = self.counters.get(name)
         if counter is None:
             counter = prometheus_client.Counter(
-                self._full(name), name, registry=self.registry
+                self._metric_name(name), name, registry=self.registry
             )
             self.counters[name] = counter
         counter.inc(amount)
@@ -39,10 +39,10 @@
         histogram = self.histograms.get(name)
         if histogram is None:
             histogram = prometheus_client.Histogram(
-                self._full(name) + '_seconds',
+                self._metric_name(name) + '_seconds',
                 name,
                 registry=self.registry,
-                buckets=BUCKETS,
+                buckets=BUCKETS_S,
             )
             self.histograms[name] = histogram
         histogram.observe(seconds)
@@ -52,7 +52,7 @@
         gauge = self.gauges.get(name)
         if gauge is None:
             gauge = prometheus_client.Gauge(
-                self._full(name), name, registry=self.registry
+                self._metric_name(name), name, registry=self.registry
             )
             self.gauges[name] = gauge
         gauge.set(value)
@@ -61,8 +61,8 @@
         """Return all figures in the text format of Prometheus."""
         return prometheus_client.generate_latest(self.registry)
 
-    def _full(self, name: str) -> str:
-        return f'{self.prefix}_{_UNFIT.sub("_", name)}'
+    def _metric_name(self, name: str) -> str:
+        return f'{self.prefix}_{_INVALID_CHARACTERS.sub("_", name)}'
 
 
 def make(prefix: str) -> ServedMetrics:
--- a/src/bulrushhold/node/_zmqtransport.py
+++ b/src/bulrushhold/node/_zmqtransport.py
@@ -18,16 +18,16 @@
 MAX_MESSAGE_BYTES: t.Final = 256 << 20
 # A silent connection is replaced within an election's time, so that one
 # replica's reconnection never costs an election.
-PROBE_MS: t.Final = 300
-SILENCE_MS: t.Final = 900
-_ONE_WAY: t.Final = b''
+HEARTBEAT_INTERVAL_MS: t.Final = 300
+CONNECTION_TIMEOUT_MS: t.Final = 900
+_NO_REPLY: t.Final = b''
 # Then the loop's other work has its turn.
-MESSAGES_IN_A_ROW: t.Final = 50
-RELEASE_S: t.Final = 1.0
-RELEASE_CHECK_S: t.Final = 0.005
+MAX_MESSAGES_PER_READ: t.Final = 50
+UNBIND_TIMEOUT_S: t.Final = 1.0
+UNBIND_CHECK_INTERVAL_S: t.Final = 0.005
 
 
-class _Channel:
+class _AsyncSocket:
     """A socket whose messages go to a callback, within the running loop.
 
     The socket's descriptor tells of a message only once: whoever is called
@@ -40,17 +40,17 @@
     def __init__(
         self,
         zmq_socket: zmq.Socket[bytes],
-        take: cabc.Callable[[list[bytes]], None],
+        on_message: cabc.Callable[[list[bytes]], None],
         parts: int,
     ) -> None:
         self.socket = zmq_socket
-        self.take = take
-        self.parts = parts
+        self.on_message = on_message
+        self.frame_count = parts
         self.loop = asyncio.get_running_loop()
         self.descriptor = zmq_socket.getsockopt(zmq.FD)
         self.scheduled: asyncio.Handle | None = None
         self.loop.add_reader(self.descriptor, self._read)
-        self._read_soon()
+        self._schedule_read()
 
     @property
     def closed(self) -> bool:
@@ -63,7 +63,7 @@
             return
         with contextlib.suppress(zmq.Again, zmq.ZMQError):
             self.socket.send_multipart(parts, zmq.DONTWAIT)
-        self._read_soon()
+        self._schedule_read()
 
     def close(self) -> None:
         """Stop reading, and drop what is queued.
@@ -78,7 +78,7 @@
             self.scheduled.cancel()
         self.socket.close(linger=0)
 
-    def _read_soon(self) -> None:
+    def _schedule_read(self) -> None:
         if self.scheduled is None:
             self.scheduled = self.loop.call_soon(self._read)
 
@@ -86,14 +86,14 @@
         if self.scheduled is not None:
             self.scheduled.cancel()
             self.scheduled = None
-        for _ in range(MESSAGES_IN_A_ROW):
+        for _ in range(MAX_MESSAGES_PER_READ):
             try:
                 parts = self.socket.recv_multipart(zmq.DONTWAIT)
             except zmq.Again:
                 return
-            if len(parts) == self.parts:
-                self.take(parts)
-        self._read_soon()
+            if len(parts) == self.frame_count:
+                self.on_message(parts)
+        self._schedule_read()
 
 
 class ZmqTransport(ports.Transport):
@@ -109,13 +109,13 @@
         self.listen = listen
         self.context = context or zmq.Context.instance()
         router = self.context.socket(zmq.ROUTER)
-        _limit(router)
+        _configure(router)
         router.bind(f'tcp://{listen}')
-        self.router = _Channel(router, self._take, 3)
+        self.router = _AsyncSocket(router, self._on_request, 3)
         self.handlers: dict[type, ports.Handler] = {}
-        self.peers: dict[str, _Channel] = {}
+        self.peers: dict[str, _AsyncSocket] = {}
         self.pending: dict[bytes, asyncio.Future[t.Any]] = {}
-        self.numbers = itertools.count(1)
+        self.request_ids = itertools.count(1)
         self.tasks: set[asyncio.Task[None]] = set()
         self.sent_bytes = 0
 
@@ -125,28 +125,28 @@
 
     def send(self, address: str, message: messages.Message) -> None:
         """Send one message, or drop it where the peer can't take it."""
-        self._transmit(address, _ONE_WAY, messages.encode(message))
+        self._transmit(address, _NO_REPLY, messages.encode(message))
 
     async def request(
         self, address: str, message: messages.Message, timeout: float
     ) -> t.Any:
         """Send a message and return its reply."""
-        number = next(self.numbers).to_bytes(8)
+        request_id = next(self.request_ids).to_bytes(8)
         future: asyncio.Future[t.Any] = (
             asyncio.get_running_loop().create_future()
         )
-        self.pending[number] = future
-        step = type(message).__name__
+        self.pending[request_id] = future
+        operation = type(message).__name__
         try:
-            self._transmit(address, number, messages.encode(message))
+            self._transmit(address, request_id, messages.encode(message))
             async with asyncio.timeout(timeout):
                 reply = await future
         except TimeoutError:
-            raise errors.PeerError('no answer', step, address) from None
+            raise errors.PeerError('no answer', operation, address) from None
         finally:
-            del self.pending[number]
+            del self.pending[request_id]
         if isinstance(reply, messages.Failure):
-            raise errors.PeerError(reply.reason, step, address)
+            raise errors.PeerError(reply.reason, operation, address)
         return reply
 
     async def close(self) -> None:
@@ -160,9 +160,9 @@
             peer.close()
         self.peers.clear()
         self.router.close()
-        await self._release()
+        await self._wait_until_unbound()
 
-    async def _release(self) -> None:
+    async def _wait_until_unbound(self) -> None:
         """Wait until the address can be bound again.
 
         zmq closes a listener in a thread of its own. A process that begins
@@ -170,27 +170,27 @@
         """
         host, _, port = self.listen.rpartition(':')
         try:
-            async with asyncio.timeout(RELEASE_S):
+            async with asyncio.timeout(UNBIND_TIMEOUT_S):
                 while not _can_bind(host, int(port)):
-                    await asyncio.sleep(RELEASE_CHECK_S)
+                    await asyncio.sleep(UNBIND_CHECK_INTERVAL_S)
         except TimeoutError:
             loguru.logger.bind(address=self.listen).warning('address in use')
 
-    def _transmit(self, address: str, number: bytes, data: bytes) -> None:
+    def _transmit(self, address: str, request_id: bytes, data: bytes) -> None:
         peer = self.peers.get(address) or self._connect(address)
-        self.sent_bytes += len(data) + len(number)
-        peer.send([number, data])
+        self.sent_bytes += len(data) + len(request_id)
+        peer.send([request_id, data])
 
-    def _connect(self, address: str) -> _Channel:
+    def _connect(self, address: str) -> _AsyncSocket:
         dealer = self.context.socket(zmq.DEALER)
-        _limit(dealer)
+        _configure(dealer)
         dealer.connect(f'tcp://{address}')
-        self.peers[address] = _Channel(dealer, self._take_reply, 2)
+        self.peers[address] = _AsyncSocket(dealer, self._on_reply, 2)
         return self.peers[address]
 
-    def _take_reply(self, parts: list[bytes]) -> None:
-        number, data = parts
-        future = self.pending.get(number)
+    def _on_reply(self, parts: list[bytes]) -> None:
+        request_id, data = parts
+        future = self.pending.get(request_id)
         if future is None or future.done():
             return
         try:
@@ -198,14 +198,16 @@
         except errors.PeerError as error:
             future.set_exception(error)
 
-    def _take(self, parts: list[bytes]) -> None:
-        peer, number, data = parts
-        work = self._dispatch(peer, number, data)
-        task = asyncio.get_running_loop().create_task(work)
+    def _on_request(self, parts: list[bytes]) -> None:
+        peer, request_id, data = parts
+        coroutine = self._dispatch(peer, request_id, data)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _dispatch(self, peer: bytes, number: bytes, data: bytes) -> None:
+    async def _dispatch(
+        self, peer: bytes, request_id: bytes, data: bytes
+    ) -> None:
         try:
             message = messages.decode(data)
             handler = self.handlers.get(type(message))
@@ -215,10 +217,10 @@
                 reply = await handler(message)
         except errors.BulrushholdError as error:
             reply = messages.Failure(str(error))
-        if number != _ONE_WAY and reply is not None:
+        if request_id != _NO_REPLY and reply is not None:
             encoded = messages.encode(reply)
             self.sent_bytes += len(encoded)
-            self.router.send([peer, number, encoded])
+            self.router.send([peer, request_id, encoded])
 
 
 def _can_bind(host: str, port: int) -> bool:
@@ -231,17 +233,17 @@
         return True
 
 
-def _limit(channel: t.Any) -> None:
-    channel.setsockopt(zmq.LINGER, 0)
-    channel.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
-    channel.setsockopt(zmq.RCVHWM, HIGH_WATER_MARK)
-    channel.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
-    channel.setsockopt(zmq.RECONNECT_IVL, 50)
-    channel.setsockopt(zmq.RECONNECT_IVL_MAX, 250)
+def _configure(zmq_socket: t.Any) -> None:
+    zmq_socket.setsockopt(zmq.LINGER, 0)
+    zmq_socket.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
+    zmq_socket.setsockopt(zmq.RCVHWM, HIGH_WATER_MARK)
+    zmq_socket.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
+    zmq_socket.setsockopt(zmq.RECONNECT_IVL, 50)
+    zmq_socket.setsockopt(zmq.RECONNECT_IVL_MAX, 250)
     # A connection may fall silent for good without a reset, while new ones
     # work. Without probes of its own zmq would keep it for hours, and a
     # replica would stay out of reach of its leader.
-    channel.setsockopt(zmq.HEARTBEAT_IVL, PROBE_MS)
-    channel.setsockopt(zmq.HEARTBEAT_TIMEOUT, SILENCE_MS)
-    channel.setsockopt(zmq.CONNECT_TIMEOUT, SILENCE_MS)
-    channel.setsockopt(zmq.HANDSHAKE_IVL, SILENCE_MS)
+    zmq_socket.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_INTERVAL_MS)
+    zmq_socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, CONNECTION_TIMEOUT_MS)
+    zmq_socket.setsockopt(zmq.CONNECT_TIMEOUT, CONNECTION_TIMEOUT_MS)
+    zmq_socket.setsockopt(zmq.HANDSHAKE_IVL, CONNECTION_TIMEOUT_MS)
--- a/tests/test_observing.py
+++ b/tests/test_observing.py
@@ -17,7 +17,7 @@
     for number in range(20_000):
         lines.put('x' * 200 + str(number))
     assert time.monotonic() - begun < 2.0
-    assert lines.lines.qsize() <= _logs.QUEUE_LINES
+    assert lines.queue.qsize() <= _logs.MAX_QUEUED_LINES
     assert lines.dropped > 0
     os.close(reader)
 
@@ -36,16 +36,16 @@
     while chunk := os.read(reader, 65536):
         read += chunk
     written = read.decode().splitlines()
-    assert len(written) == _logs.LINES_PER_S + 2
+    assert len(written) == _logs.MAX_LINES_PER_S + 2
     dropped = json.loads(written[-2])
     assert dropped == {
         'message': 'lines dropped',
-        'n': 1000 - _logs.LINES_PER_S,
+        'n': 1000 - _logs.MAX_LINES_PER_S,
     }
 
 
 def test_figures_are_served_as_text():
-    metrics = node.make_served_metrics('bulrushhold_entry')
+    metrics = node.make_prometheus_metrics('bulrushhold_entry')
     metrics.count('requests.refused.503', 2)
     metrics.time('streams.resumed', 0.2)
     metrics.gauge('map.version', 7)
