--- a/src/bulrushhold/node/__init__.py
+++ b/src/bulrushhold/node/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters of a process without HTTP: zmq, disk, logs, metrics."""
+"""Adapters that need no HTTP: ZeroMQ, disk, logs, metrics."""
 
 from bulrushhold.node._clock import boot_time
 from bulrushhold.node._filelog import FileLog
--- a/src/bulrushhold/node/_clock.py
+++ b/src/bulrushhold/node/_clock.py
@@ -1,13 +1,12 @@
-"""The clock for promises that depend on how much time has gone by."""
+"""The clock that leases are measured with."""
 
 import time
 
 
 def boot_time() -> float:
-    """Return seconds since the machine started, suspension included.
+    """Return the seconds since boot, including time spent suspended.
 
-    ``time.monotonic`` stands still while a machine is suspended: a leader
-    would wake up with its lease still running, long after the others
-    elected another one, and answer a read with an old state.
+    ``time.monotonic`` stops while a machine is suspended: a resumed leader
+    would consider its expired lease valid and serve stale reads.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/bulrushhold/node/_filelog.py
+++ b/src/bulrushhold/node/_filelog.py
@@ -1,9 +1,8 @@
-"""The replicated log on disk: checksummed records, synced.
+"""The replicated log on disk, as checksummed and synced records.
 
-Files of the data folder: ``identity`` (who this replica is),
-``snapshot`` (whole state) and ``log`` (entries after it). Whole files
-are replaced by a rename, with a sync of the file before it and of the
-folder after it.
+The data folder holds ``identity`` (the replica's identity), ``snapshot``
+(the state up to an index) and ``log`` (the entries after it). Files are
+replaced atomically: write, sync, rename, sync the folder.
 """
 
 import os
@@ -26,10 +25,10 @@
 
 @attrs.frozen
 class Identity:
-    """Who a replica is; a new disk means a new one.
+    """The identity of a replica; a replaced disk gets a new one.
 
-    :param founding: the first members, for those that found the log;
-        empty for a replica that joins.
+    :param founding: the initial voters, if this replica is one of them;
+        empty for a replica that joined later.
     """
 
     replica: str
@@ -38,7 +37,7 @@
 
 @attrs.frozen
 class _Record:
-    """One synced write: the vote, and entries."""
+    """One synced write: term, vote and entries."""
 
     term: int
     vote: str
@@ -50,9 +49,9 @@
 
 
 class FileLog(ports.LogStore):
-    """The data folder of one replica.
+    """Stores log, snapshot and identity of one replica.
 
-    :param folder: must exist; one process at a time.
+    :param folder: the data folder; used by one process at a time.
     """
 
     def __init__(self, folder: str | os.PathLike[str]) -> None:
@@ -65,10 +64,10 @@
         self.vote = ''
 
     def identity(self) -> Identity | None:
-        """Return the stored identity, or ``None`` in an empty folder.
+        """Return the stored identity, or ``None`` if the folder is empty.
 
-        :raises StorageError: where it is damaged, or files of a log are
-            there without it.
+        :raises StorageError: if it is damaged, or is missing while a log
+            or a snapshot exists.
         """
         data = self._read(self.identity_path)
         if data is None:
@@ -90,9 +89,9 @@
         self._replace(self.identity_path, _encode_record(payload))
 
     def load(self, founding: messages.Config) -> decisions.Durable:
-        """Read snapshot and log; cut a torn tail.
+        """Read snapshot and log; truncate an incomplete last record.
 
-        :raises StorageError: naming file and offset of any other damage.
+        :raises StorageError: for any other damage, with file and offset.
         """
         durable = decisions.Durable(founding=founding)
         snapshot = self._read(self.snapshot_path)
@@ -113,7 +112,7 @@
     def save(
         self, term: int, vote: str, entries: list[messages.LogEntry]
     ) -> None:
-        """Append one record and sync it."""
+        """Append a record and sync the file."""
         self.term, self.vote = term, vote
         payload = msgspec.msgpack.encode(_Record(term, vote, entries))
         try:
@@ -121,18 +120,18 @@
             _write_all(self.file.fileno(), _encode_record(payload))
             os.fdatasync(self.file.fileno())
         except OSError as error:
-            # After a failed sync the kernel may have dropped the pages and
-            # a second sync would succeed without them: only a stop, and a
-            # read of what is really there, is safe.
+            # After a failed sync the kernel may have dropped the pages, and
+            # a second sync would succeed without them. Never retry; the
+            # files have to be read again.
             raise self._error(str(error), self.log_path) from error
 
     def save_snapshot(
         self, snapshot: messages.InstallSnapshot, tail: list[messages.LogEntry]
     ) -> None:
-        """Store a snapshot, then start the log anew with the tail.
+        """Store a snapshot, then replace the log by its tail.
 
-        A crash between the two leaves the new snapshot with the old log,
-        whose entries up to the snapshot are passed over on loading.
+        A crash between the two leaves the new snapshot with the old log;
+        ``load`` skips entries that the snapshot covers.
         """
         self._replace(
             self.snapshot_path,
@@ -170,7 +169,7 @@
             position = entry.index - snapshot_index - 1
             if position > len(durable.entries):
                 raise self._error(
-                    f'entry {entry.index} follows a gap', self.log_path
+                    f'entries before {entry.index} are missing', self.log_path
                 )
             del durable.entries[position:]
             durable.entries.append(entry)
@@ -178,11 +177,11 @@
     def _read_records(
         self, data: bytes, path: pathlib.Path, *, allow_torn_tail: bool
     ) -> tuple[list[bytes], int]:
-        """Return the payloads and the length of the good part.
+        """Return the payloads and the length of the valid data.
 
-        A write that a crash cut short is the last one, and was never
-        acknowledged: it may be cut off. Damage with good records behind
-        it is a lost promise, and no replica may start on it.
+        An incomplete last record was never acknowledged and may be dropped.
+        An invalid record before a valid one may have been acknowledged, so
+        loading fails.
         """
         payloads: list[bytes] = []
         offset = 0
@@ -200,8 +199,8 @@
 
     def _open_log(self, length: int) -> None:
         try:
-            # Unbuffered: what a full disk refused would else be written
-            # again when the file is closed, and fail there.
+            # Unbuffered, so that close() doesn't retry a write that failed
+            # on a full disk.
             self.file = open(self.log_path, 'ab', buffering=0)
             self.file.truncate(length)
             os.fsync(self.file.fileno())
@@ -261,7 +260,7 @@
 
 
 def _has_valid_record_after(data: bytes, offset: int) -> bool:
-    """Whether a good record stands anywhere behind a bad one."""
+    """Whether a valid record starts anywhere after ``offset``."""
     return any(
         _decode_record_at(data, start) is not None
         for start in range(offset + 1, len(data) - _HEADER.size)
--- a/src/bulrushhold/node/_logs.py
+++ b/src/bulrushhold/node/_logs.py
@@ -1,8 +1,8 @@
-"""Logs as JSON lines on standard output, through loguru.
+"""Logging as JSON lines on standard output, through loguru.
 
-A process must not wait for whoever reads its log, nor write without
-bound: lines go through a short queue to a thread of their own, and those
-that find no room, or come too fast, are dropped and counted.
+A slow reader of the log must not block the process. Lines go through a
+bounded queue to a writer thread; lines above the rate limit or the queue
+limit are dropped and counted.
 """
 
 import json
@@ -15,17 +15,17 @@
 
 import loguru
 
-# 300 lines of 300 bytes are 90 KB/s, and about 2 % of a core.
+# Bounds log volume and CPU use.
 MAX_LINES_PER_S: t.Final = 300
 MAX_QUEUED_LINES: t.Final = 2000
 FLUSH_TIMEOUT_S: t.Final = 1.0
 
 
 class LineWriter:
-    """Writes lines to a file that may block, without blocking the caller.
+    """Writes lines to a file descriptor without blocking the caller.
 
-    :param descriptor: of the file.
-    :param clock: seconds, for the bound on lines.
+    :param descriptor: the file descriptor; its writes may block.
+    :param clock: returns seconds, for the rate limit.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self.thread.start()
 
     def put(self, line: str) -> None:
-        """Queue a line, or count it as dropped."""
+        """Queue a line, or drop it and count it."""
         second = int(self.clock())
         if second != self.current_second:
             self.current_second, self.lines_this_second = second, 0
@@ -55,7 +55,7 @@
         self._enqueue(line)
 
     def close(self) -> None:
-        """Write what is queued, for a short while at most."""
+        """Write the queued lines; give up after a timeout."""
         try:
             self.queue.put_nowait(None)
         except queue.Full:
@@ -80,15 +80,15 @@
                 while data:
                     data = data[os.write(self.descriptor, data) :]
             except OSError:
-                # Nobody can be told that the log is gone; requests go on.
+                # The error can't be logged; requests are still served.
                 self.dropped += 1
 
 
 def configure(level: str, process: str) -> LineWriter:
-    """Write log lines to standard output, one JSON object each.
+    """Set up logging to standard output, one JSON object per line.
 
-    :param level: least level that is written.
-    :param process: name put on each line.
+    :param level: lowest level that is written.
+    :param process: process name, added to each line.
     """
     writer = LineWriter(sys.stdout.fileno())
     loguru.logger.remove()
@@ -102,7 +102,7 @@
 
 
 def decision(name: str, **fields: t.Any) -> None:
-    """Log one routing or placement decision with its reasons."""
+    """Log a routing, placement or membership decision with its details."""
     loguru.logger.bind(decision=name, **fields).info(name)
 
 
--- a/src/bulrushhold/node/_served.py
+++ b/src/bulrushhold/node/_served.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, served as text."""
+"""Metrics in the text format of Prometheus."""
 
 import re
 
@@ -6,15 +6,15 @@
 
 from bulrushhold import ports
 
-# Seconds; from a plain answer to a long stream.
+# From a plain response to a long stream.
 BUCKETS_S = (0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
 _INVALID_CHARACTERS = re.compile('[^a-zA-Z0-9_]')
 
 
 class ServedMetrics(ports.Metrics):
-    """Keeps figures in this process until they are asked for.
+    """Collects metrics in this process for Prometheus to scrape.
 
-    :param prefix: put before every name.
+    :param prefix: prepended to every metric name.
     """
 
     def __init__(self, prefix: str) -> None:
@@ -35,7 +35,7 @@
         counter.inc(amount)
 
     def time(self, name: str, seconds: float) -> None:
-        """Record one duration in a histogram."""
+        """Record a duration in a histogram."""
         histogram = self.histograms.get(name)
         if histogram is None:
             histogram = prometheus_client.Histogram(
@@ -48,7 +48,7 @@
         histogram.observe(seconds)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a level."""
+        """Set a gauge."""
         gauge = self.gauges.get(name)
         if gauge is None:
             gauge = prometheus_client.Gauge(
@@ -58,7 +58,7 @@
         gauge.set(value)
 
     def text(self) -> bytes:
-        """Return all figures in the text format of Prometheus."""
+        """Return all metrics in the text format of Prometheus."""
         return prometheus_client.generate_latest(self.registry)
 
     def _metric_name(self, name: str) -> str:
@@ -66,5 +66,5 @@
 
 
 def make(prefix: str) -> ServedMetrics:
-    """Return metrics that are served by this process."""
+    """Return metrics for Prometheus."""
     return ServedMetrics(prefix)
--- a/src/bulrushhold/node/_statsd.py
+++ b/src/bulrushhold/node/_statsd.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd, over UDP."""
+"""Metrics sent to statsd over UDP."""
 
 import statsd
 
@@ -7,9 +7,9 @@
 
 
 class StatsdMetrics(ports.Metrics):
-    """Sends each figure as one datagram, which may be lost.
+    """Sends each value as a datagram, which may be lost.
 
-    :param prefix: put before every name, such as ``bulrushhold.entry``.
+    :param prefix: prepended to every name, such as ``bulrushhold.entry``.
     """
 
     def __init__(self, target: settings.Metrics, prefix: str) -> None:
@@ -22,27 +22,27 @@
         self.client.incr(name, amount)
 
     def time(self, name: str, seconds: float) -> None:
-        """Record one duration, sent in milliseconds as statsd wants."""
+        """Record a duration; statsd expects milliseconds."""
         self.client.timing(name, seconds * 1000)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a level."""
+        """Set a gauge."""
         self.client.gauge(name, value)
 
 
 class NoMetrics(ports.Metrics):
-    """Takes figures to nowhere, where no statsd is set."""
+    """Discards all metrics; used if no statsd is configured."""
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Drop the figure."""
+        """Discard the value."""
 
     def time(self, name: str, seconds: float) -> None:
-        """Drop the figure."""
+        """Discard the value."""
 
     def gauge(self, name: str, value: float) -> None:
-        """Drop the figure."""
+        """Discard the value."""
 
 
 def make(target: settings.Metrics | None, prefix: str) -> ports.Metrics:
-    """Return the metrics that the settings ask for."""
+    """Return a statsd client, or a null object if no target is set."""
     return NoMetrics() if target is None else StatsdMetrics(target, prefix)
--- a/src/bulrushhold/node/_zmqtransport.py
+++ b/src/bulrushhold/node/_zmqtransport.py
@@ -1,4 +1,4 @@
-"""Messages between the system's processes over zmq and TCP."""
+"""Message transport between processes over ZeroMQ and TCP."""
 
 import asyncio
 import collections.abc as cabc
@@ -16,36 +16,35 @@
 
 HIGH_WATER_MARK: t.Final = 4096
 MAX_MESSAGE_BYTES: t.Final = 256 << 20
-# A silent connection is replaced within an election's time, so that one
-# replica's reconnection never costs an election.
+# Shorter than an election, so that a reconnect doesn't cause one.
 HEARTBEAT_INTERVAL_MS: t.Final = 300
 CONNECTION_TIMEOUT_MS: t.Final = 900
 _NO_REPLY: t.Final = b''
-# Then the loop's other work has its turn.
+# Yields to the event loop's other callbacks after this many.
 MAX_MESSAGES_PER_READ: t.Final = 50
 UNBIND_TIMEOUT_S: t.Final = 1.0
 UNBIND_CHECK_INTERVAL_S: t.Final = 0.005
 
 
 class _AsyncSocket:
-    """A socket whose messages go to a callback, within the running loop.
+    """A ZeroMQ socket that calls back from the running event loop.
 
-    The socket's descriptor tells of a message only once: whoever is called
-    has to read until nothing is left, and to look again after each send.
+    The socket's descriptor is edge-triggered: after a notification, and
+    after each send, the socket has to be read until it is empty.
 
-    :param take: is called with the parts of each message.
-    :param parts: of a message; others come from strangers.
+    :param on_message: called with the frames of each message.
+    :param frame_count: frames of a valid message; others are ignored.
     """
 
     def __init__(
         self,
         zmq_socket: zmq.Socket[bytes],
         on_message: cabc.Callable[[list[bytes]], None],
-        parts: int,
+        frame_count: int,
     ) -> None:
         self.socket = zmq_socket
         self.on_message = on_message
-        self.frame_count = parts
+        self.frame_count = frame_count
         self.loop = asyncio.get_running_loop()
         self.descriptor = zmq_socket.getsockopt(zmq.FD)
         self.scheduled: asyncio.Handle | None = None
@@ -57,19 +56,19 @@
         """Whether the socket is closed."""
         return self.socket.closed
 
-    def send(self, parts: list[bytes]) -> None:
-        """Send a message, or drop it where the peer can't take it."""
+    def send(self, frames: list[bytes]) -> None:
+        """Send a message, or drop it if the send queue is full."""
         if self.closed:
             return
         with contextlib.suppress(zmq.Again, zmq.ZMQError):
-            self.socket.send_multipart(parts, zmq.DONTWAIT)
+            self.socket.send_multipart(frames, zmq.DONTWAIT)
         self._schedule_read()
 
     def close(self) -> None:
-        """Stop reading, and drop what is queued.
+        """Stop reading and drop queued messages.
 
-        The second time does nothing: another connection may have got the
-        descriptor's number by then.
+        A second call does nothing, as the descriptor may already belong to
+        another connection.
         """
         if self.closed:
             return
@@ -88,19 +87,19 @@
             self.scheduled = None
         for _ in range(MAX_MESSAGES_PER_READ):
             try:
-                parts = self.socket.recv_multipart(zmq.DONTWAIT)
+                frames = self.socket.recv_multipart(zmq.DONTWAIT)
             except zmq.Again:
                 return
-            if len(parts) == self.frame_count:
-                self.on_message(parts)
+            if len(frames) == self.frame_count:
+                self.on_message(frames)
         self._schedule_read()
 
 
 class ZmqTransport(ports.Transport):
-    """One ROUTER socket for what comes in, one DEALER per peer.
+    """Receives on one ROUTER socket and sends on one DEALER per peer.
 
-    Sockets drop what they can't hold: a peer that is gone must not fill
-    this process's memory, and every message may be lost anyway.
+    Messages beyond a queue's limit are dropped, so that an unreachable peer
+    doesn't exhaust memory. Senders have to expect losses anyway.
     """
 
     def __init__(
@@ -124,13 +123,13 @@
         self.handlers[kind] = handler
 
     def send(self, address: str, message: messages.Message) -> None:
-        """Send one message, or drop it where the peer can't take it."""
+        """Send a message, or drop it if the send queue is full."""
         self._transmit(address, _NO_REPLY, messages.encode(message))
 
     async def request(
         self, address: str, message: messages.Message, timeout: float
     ) -> t.Any:
-        """Send a message and return its reply."""
+        """Send a message and wait for its reply."""
         request_id = next(self.request_ids).to_bytes(8)
         future: asyncio.Future[t.Any] = (
             asyncio.get_running_loop().create_future()
@@ -142,7 +141,7 @@
             async with asyncio.timeout(timeout):
                 reply = await future
         except TimeoutError:
-            raise errors.PeerError('no answer', operation, address) from None
+            raise errors.PeerError('no reply', operation, address) from None
         finally:
             del self.pending[request_id]
         if isinstance(reply, messages.Failure):
@@ -150,7 +149,7 @@
         return reply
 
     async def close(self) -> None:
-        """Stop receiving and drop what is queued; free the address."""
+        """Close all sockets, drop queued messages and release the address."""
         if self.router.closed:
             return
         for task in list(self.tasks):
@@ -165,8 +164,8 @@
     async def _wait_until_unbound(self) -> None:
         """Wait until the address can be bound again.
 
-        zmq closes a listener in a thread of its own. A process that begins
-        anew at its address at once would find it in use, and end.
+        ZeroMQ closes listeners in a background thread, so that an immediate
+        restart at the same address could fail.
         """
         host, _, port = self.listen.rpartition(':')
         try:
@@ -174,7 +173,9 @@
                 while not _can_bind(host, int(port)):
                     await asyncio.sleep(UNBIND_CHECK_INTERVAL_S)
         except TimeoutError:
-            loguru.logger.bind(address=self.listen).warning('address in use')
+            loguru.logger.bind(address=self.listen).warning(
+                'address still in use'
+            )
 
     def _transmit(self, address: str, request_id: bytes, data: bytes) -> None:
         peer = self.peers.get(address) or self._connect(address)
@@ -188,8 +189,8 @@
         self.peers[address] = _AsyncSocket(dealer, self._on_reply, 2)
         return self.peers[address]
 
-    def _on_reply(self, parts: list[bytes]) -> None:
-        request_id, data = parts
+    def _on_reply(self, frames: list[bytes]) -> None:
+        request_id, data = frames
         future = self.pending.get(request_id)
         if future is None or future.done():
             return
@@ -198,8 +199,8 @@
         except errors.PeerError as error:
             future.set_exception(error)
 
-    def _on_request(self, parts: list[bytes]) -> None:
-        peer, request_id, data = parts
+    def _on_request(self, frames: list[bytes]) -> None:
+        peer, request_id, data = frames
         coroutine = self._dispatch(peer, request_id, data)
         task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
@@ -240,9 +241,8 @@
     zmq_socket.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
     zmq_socket.setsockopt(zmq.RECONNECT_IVL, 50)
     zmq_socket.setsockopt(zmq.RECONNECT_IVL_MAX, 250)
-    # A connection may fall silent for good without a reset, while new ones
-    # work. Without probes of its own zmq would keep it for hours, and a
-    # replica would stay out of reach of its leader.
+    # Detect dead connections that were not reset. Without heartbeats ZeroMQ
+    # would keep them for hours.
     zmq_socket.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_INTERVAL_MS)
     zmq_socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, CONNECTION_TIMEOUT_MS)
     zmq_socket.setsockopt(zmq.CONNECT_TIMEOUT, CONNECTION_TIMEOUT_MS)
