--- a/src/bulrushhold/composition/_control.py
+++ b/src/bulrushhold/composition/_control.py
@@ -15,12 +15,13 @@
 if t.TYPE_CHECKING:
     from bulrushhold import control
 
-DISK_RETRY_S: t.Final = 0.5
+DISK_RETRY_DELAY_S: t.Final = 0.5
 
 
 async def run_control(
     config: settings.Control,
-    attach: t.Callable[['control.ControlServer'], 'Attachment'] | None = None,
+    make_attachment: t.Callable[['control.ControlServer'], 'Attachment']
+    | None = None,
 ) -> None:
     """Run a control process until it is told to stop.
 
@@ -29,12 +30,12 @@
     :raises StorageError: where its data folder can't be trusted.
     """
     stop = asyncio.Event()
-    _background.on_signals(stop.set)
+    _background.handle_stop_signals(stop.set)
     while not stop.is_set():
         try:
-            await _serve_control(config, attach, stop)
+            await _serve_control(config, make_attachment, stop)
         except errors.StorageError as error:
-            if attach is None:
+            if make_attachment is None:
                 raise
             # The disk is full or refuses to sync. What was written isn't
             # sure to be there, so that the replica begins anew from what
@@ -42,7 +43,7 @@
             # but count as a crash of its own.
             loguru.logger.bind(error=str(error)).error('disk failed')
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(DISK_RETRY_S):
+                async with asyncio.timeout(DISK_RETRY_DELAY_S):
                     await stop.wait()
 
 
@@ -60,7 +61,8 @@
 
 async def _serve_control(
     config: settings.Control,
-    attach: t.Callable[['control.ControlServer'], 'Attachment'] | None,
+    make_attachment: t.Callable[['control.ControlServer'], 'Attachment']
+    | None,
     stop: asyncio.Event,
 ) -> None:
     from bulrushhold import control
@@ -88,23 +90,23 @@
         metrics,
         node.boot_time,
     )
-    attachment = attach(server) if attach else None
+    attachment = make_attachment(server) if make_attachment else None
     if attachment is not None:
         await attachment.start()
-    serving = asyncio.ensure_future(server.run())
-    stopping = asyncio.ensure_future(stop.wait())
+    server_task = asyncio.ensure_future(server.run())
+    stop_task = asyncio.ensure_future(stop.wait())
     loguru.logger.bind(replica=ident).info('control started')
     try:
         await asyncio.wait(
-            (serving, stopping), return_when=asyncio.FIRST_COMPLETED
+            (server_task, stop_task), return_when=asyncio.FIRST_COMPLETED
         )
-        if serving.done():
+        if server_task.done():
             # With no error it has founded the log, and begins anew with it.
-            serving.result()
+            server_task.result()
     finally:
-        serving.cancel()
-        stopping.cancel()
-        await asyncio.gather(serving, stopping, return_exceptions=True)
+        server_task.cancel()
+        stop_task.cancel()
+        await asyncio.gather(server_task, stop_task, return_exceptions=True)
         if attachment is not None:
             await attachment.close()
         await transport.close()
--- a/src/bulrushhold/composition/_entry.py
+++ b/src/bulrushhold/composition/_entry.py
@@ -13,7 +13,7 @@
 if t.TYPE_CHECKING:
     from bulrushhold import decisions
 
-DRAIN_CHECK_S: t.Final = 0.1
+DRAIN_CHECK_INTERVAL_S: t.Final = 0.1
 
 
 class EntryProcess:
@@ -91,7 +91,7 @@
             config.recovery,
             self.router,
             adapters.HttpEngineClient(self.session),
-            _policy(config.recovery),
+            _make_policy(config.recovery),
             self.copies,
             self.admission,
             quarantine,
@@ -127,7 +127,7 @@
         self.spawn(self.table.run())
         self.spawn(self.view.run())
         self.spawn(self.prober.run())
-        self.spawn(self._follow_peers())
+        self.spawn(self._update_peers())
         self.spawn(self.streams.sweep())
         self.spawn(self.admission.sweep())
         self.runner = web.AppRunner(
@@ -148,9 +148,9 @@
         self.server.draining = True
         self.prober.leave()
         loguru.logger.info('draining')
-        end = time.monotonic() + self.config.drain_deadline_s
-        while self.server.busy and time.monotonic() < end:
-            await asyncio.sleep(DRAIN_CHECK_S)
+        deadline = time.monotonic() + self.config.drain_deadline_s
+        while self.server.busy and time.monotonic() < deadline:
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     async def close(self) -> None:
         """Stop all parts."""
@@ -162,24 +162,24 @@
         await self.session.close()
         await self.transport.close()
 
-    def spawn(self, work: t.Coroutine[t.Any, t.Any, t.Any]) -> None:
+    def spawn(self, coroutine: t.Coroutine[t.Any, t.Any, t.Any]) -> None:
         """Run work in the background until the process closes."""
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.background.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[t.Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[t.Any]) -> None:
         self.background.discard(task)
-        _background.log_end(task)
+        _background.log_failure(task)
 
-    async def _follow_peers(self) -> None:
-        known: set[str] = set()
+    async def _update_peers(self) -> None:
+        known_names: set[str] = set()
         while True:
             self.copies.set_peers(self.view.copy_peers())
             self.admission.set_capacity(self.view.engine_slots())
             names = {instance.name for instance in self.view.entries}
-            if names != known:
-                known = names
+            if names != known_names:
+                known_names = names
                 self.store.homes_changed(time.monotonic())
             await self.view.changed.wait()
             self.view.changed.clear()
@@ -192,18 +192,20 @@
     """
     process = EntryProcess(config)
     signals = asyncio.Queue[None]()
-    _background.on_signals(lambda: signals.put_nowait(None))
+    _background.handle_stop_signals(lambda: signals.put_nowait(None))
     await process.start()
     await signals.get()
-    drained = asyncio.ensure_future(process.drain())
-    again = asyncio.ensure_future(signals.get())
-    await asyncio.wait((drained, again), return_when=asyncio.FIRST_COMPLETED)
-    drained.cancel()
-    again.cancel()
+    drain_task = asyncio.ensure_future(process.drain())
+    second_signal = asyncio.ensure_future(signals.get())
+    await asyncio.wait(
+        (drain_task, second_signal), return_when=asyncio.FIRST_COMPLETED
+    )
+    drain_task.cancel()
+    second_signal.cancel()
     await process.close()
 
 
-def _policy(config: settings.Recovery) -> 'decisions.RecoveryPolicy':
+def _make_policy(config: settings.Recovery) -> 'decisions.RecoveryPolicy':
     from bulrushhold import decisions
 
     policies: dict[str, type[decisions.RecoveryPolicy]] = {
--- a/src/bulrushhold/composition/_forwarding.py
+++ b/src/bulrushhold/composition/_forwarding.py
@@ -19,13 +19,13 @@
     from bulrushhold import forwarding
     from bulrushhold import ports
 
-DRAIN_CHECK_S: t.Final = 0.1
+DRAIN_CHECK_INTERVAL_S: t.Final = 0.1
 # Ports that answer at once need no time to close.
-CLOSE_S: t.Final = 0.2
+SHUTDOWN_TIMEOUT_S: t.Final = 0.2
 # Left of the time before the kill, for closing and for a busy machine.
 EXIT_MARGIN_S: t.Final = 0.7
 # A request taken later than this before the end would be cut off.
-LAST_TAKEN_S: t.Final = 2.0
+REFUSE_BEFORE_EXIT_S: t.Final = 2.0
 
 
 @attrs.frozen
@@ -36,10 +36,12 @@
     :param sites: further ports, with what each answers.
     """
 
-    callers: 'calls.CallerDialect'
-    engines: 'calls.EngineDialect'
-    backends: t.Callable[['aiohttp.ClientSession'], 'ports.BackendList']
-    sites: list[
+    caller_dialect: 'calls.CallerDialect'
+    engine_dialect: 'calls.EngineDialect'
+    make_backend_list: t.Callable[
+        ['aiohttp.ClientSession'], 'ports.BackendList'
+    ]
+    listeners: list[
         tuple[
             settings.Address,
             t.Callable[['forwarding.Fleet'], 'web.Application'],
@@ -71,7 +73,7 @@
         config = self.config
         self.transport = node.ZmqTransport(str(config.peer))
         self.session = adapters.make_session()
-        self.client = adapters.HttpBackendClient(self.adapters.engines)
+        self.client = adapters.HttpBackendClient(self.adapters.engine_dialect)
         placement = decisions.Placement(random.Random())
         budget = decisions.RepeatBudget(
             config.repeat_ratio,
@@ -86,7 +88,7 @@
             ),
             [str(seed) for seed in config.seeds],
             self.transport,
-            self.adapters.backends(self.session),
+            self.adapters.make_backend_list(self.session),
             placement,
             budget,
             crashers,
@@ -103,26 +105,30 @@
         )
         self.forwarder = forwarding.Forwarder(self.fleet, parts)
         self.ingress = adapters.Ingress(
-            self.forwarder.handle, self.adapters.callers
+            self.forwarder.handle, self.adapters.caller_dialect
         )
-        self.follow = _background.in_background(self.fleet.follow())
+        self.follow_task = _background.in_background(self.fleet.follow())
         self.background.append(
             _background.in_background(self.fleet.read_list_alone())
         )
         self.background.append(_background.in_background(self.fleet.share()))
         await self.ingress.start(config.callers.host, config.callers.port)
-        for address, make in self.adapters.sites:
-            await self._open(web, address, make(self.fleet))
+        for address, make_application in self.adapters.listeners:
+            await self._start_listener(
+                web, address, make_application(self.fleet)
+            )
         if config.metrics is not None:
-            await self._open(
+            await self._start_listener(
                 web, config.metrics, adapters.metrics_application(self.metrics)
             )
         loguru.logger.bind(callers=str(config.callers)).info('entry started')
 
-    async def _open(
+    async def _start_listener(
         self, web: t.Any, address: settings.Address, app: 'web.Application'
     ) -> None:
-        runner = web.AppRunner(app, access_log=None, shutdown_timeout=CLOSE_S)
+        runner = web.AppRunner(
+            app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S
+        )
         await runner.setup()
         await web.TCPSite(runner, address.host, address.port).start()
         self.runners.append(runner)
@@ -134,26 +140,26 @@
         a close unseen. So connections stay open until callers are gone,
         and only then new requests are refused.
         """
-        begun = time.monotonic()
+        started_at = time.monotonic()
         self.fleet.leave()
         self.ingress.draining = True
-        self.follow.cancel()
-        self.follow = _background.in_background(self.fleet.follow())
+        self.follow_task.cancel()
+        self.follow_task = _background.in_background(self.fleet.follow())
         loguru.logger.info('draining')
-        last = begun + self.config.grace_s - EXIT_MARGIN_S
-        self.forwarder.ends_at = last
-        while time.monotonic() < last:
-            await asyncio.sleep(DRAIN_CHECK_S)
+        deadline = started_at + self.config.grace_s - EXIT_MARGIN_S
+        self.forwarder.ends_at = deadline
+        while time.monotonic() < deadline:
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
             now = time.monotonic()
-            lingered = now > begun + self.config.linger_s
-            if now > last - LAST_TAKEN_S:
+            linger_elapsed = now > started_at + self.config.linger_s
+            if now > deadline - REFUSE_BEFORE_EXIT_S:
                 self.forwarder.closing = True
-            if lingered and not self.ingress.busy:
+            if linger_elapsed and not self.ingress.busy:
                 break
 
     async def close(self) -> None:
         """Stop all parts."""
-        tasks = [self.follow, *self.background]
+        tasks = [self.follow_task, *self.background]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -169,7 +175,7 @@
 async def run_forwarding(entry: ForwardingEntry) -> None:
     """Run a forwarding entry until it is told to stop, then drain it."""
     stop = asyncio.Event()
-    _background.on_signals(stop.set)
+    _background.handle_stop_signals(stop.set)
     await entry.start()
     await stop.wait()
     await entry.drain()
--- a/src/bulrushhold/composition/_relay.py
+++ b/src/bulrushhold/composition/_relay.py
@@ -11,7 +11,7 @@
 if t.TYPE_CHECKING:
     from aiohttp import web
 
-CLOSE_S: t.Final = 0.2
+SHUTDOWN_TIMEOUT_S: t.Final = 0.2
 
 
 class RelayProcess:
@@ -51,12 +51,14 @@
         from aiohttp import web
 
         stop = asyncio.Event()
-        _background.on_signals(stop.set)
+        _background.handle_stop_signals(stop.set)
         tasks = [
             _background.in_background(self.relay.run()),
             _background.in_background(self.fleet.run()),
         ]
-        runner = web.AppRunner(app, access_log=None, shutdown_timeout=CLOSE_S)
+        runner = web.AppRunner(
+            app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S
+        )
         await runner.setup()
         if operators is not None:
             site = web.TCPSite(runner, operators.host, operators.port)
