--- a/src/bulrushhold/__init__.py
+++ b/src/bulrushhold/__init__.py
@@ -1,4 +1,4 @@
-"""Serving system for long generations on engines that fail."""
+"""Serving system for long LLM generations on unreliable engines."""
 
 import typing as t
 
--- a/src/bulrushhold/__main__.py
+++ b/src/bulrushhold/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line as ``python -m bulrushhold``."""
+"""Command line entry point for ``python -m bulrushhold``."""
 
 from bulrushhold import cli
 
--- a/src/bulrushhold/composition/__init__.py
+++ b/src/bulrushhold/composition/__init__.py
@@ -1,7 +1,7 @@
-"""The composition root: wires the parts of each process.
+"""The composition root, which builds and runs each kind of process.
 
-Imports stand in the methods: control must not load the HTTP stack, which
-alone would take a third of its memory budget.
+Methods import what they need, so that a control process doesn't load the
+HTTP stack and stays within its memory budget.
 """
 
 from bulrushhold.composition._background import in_background
--- a/src/bulrushhold/composition/_control.py
+++ b/src/bulrushhold/composition/_control.py
@@ -1,4 +1,4 @@
-"""Wires and runs a control process."""
+"""Builds and runs a control process with a replica."""
 
 import abc
 import asyncio
@@ -23,11 +23,12 @@
     make_attachment: t.Callable[['control.ControlServer'], 'Attachment']
     | None = None,
 ) -> None:
-    """Run a control process until it is told to stop.
+    """Run a control process until a signal stops it.
 
-    :param attach: adds what serves beside the replica, such as the
-        operators' port.
-    :raises StorageError: where its data folder can't be trusted.
+    :param make_attachment: returns services to run beside the replica, such
+        as the operators' HTTP port. The process then survives disk errors.
+    :raises StorageError: if the data folder can't be read or written, and
+        there is no attachment.
     """
     stop = asyncio.Event()
     _background.handle_stop_signals(stop.set)
@@ -37,26 +38,25 @@
         except errors.StorageError as error:
             if make_attachment is None:
                 raise
-            # The disk is full or refuses to sync. What was written isn't
-            # sure to be there, so that the replica begins anew from what
-            # the disk gives back; leaving the process would do the same,
-            # but count as a crash of its own.
-            loguru.logger.bind(error=str(error)).error('disk failed')
+            # The disk is full or a sync failed. What the last write left on
+            # disk is unknown, so reload the replica from the data folder.
+            # Exiting instead would be counted as a crash.
+            loguru.logger.bind(error=str(error)).error('storage failed')
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(DISK_RETRY_DELAY_S):
                     await stop.wait()
 
 
 class Attachment(abc.ABC):
-    """What runs beside the replica in a control process."""
+    """Additional services that run beside the replica of a process."""
 
     @abc.abstractmethod
     async def start(self) -> None:
-        """Open ports and begin background work."""
+        """Open ports and start background tasks."""
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Close ports and end background work."""
+        """Close ports and stop background tasks."""
 
 
 async def _serve_control(
@@ -101,7 +101,8 @@
             (server_task, stop_task), return_when=asyncio.FIRST_COMPLETED
         )
         if server_task.done():
-            # With no error it has founded the log, and begins anew with it.
+            # Raises its error. Without one the replica has bootstrapped the
+            # log and is restarted with it by the caller.
             server_task.result()
     finally:
         server_task.cancel()
--- a/src/bulrushhold/composition/_entry.py
+++ b/src/bulrushhold/composition/_entry.py
@@ -1,4 +1,4 @@
-"""Wires and runs an entry with the product's own interface."""
+"""Builds and runs an entry with the product's own HTTP interface."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 
 class EntryProcess:
-    """An entry with all its parts, as :func:`run_entry` runs it."""
+    """An entry with all its components, as run by :func:`run_entry`."""
 
     def __init__(self, config: settings.Entry) -> None:
         from bulrushhold import decisions
@@ -45,7 +45,7 @@
         self.background: set[asyncio.Task[t.Any]] = set()
 
     async def start(self) -> None:
-        """Open the sockets, and serve."""
+        """Open the sockets and start serving."""
         import aiohttp
         from aiohttp import web
 
@@ -53,8 +53,8 @@
         from bulrushhold import web as adapters
 
         config = self.config
-        # No limit: the default of 100 connections would hold back the
-        # hundred-and-first stream, as if an engine were slow.
+        # No limit: the default of 100 connections would delay further
+        # streams.
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
             auto_decompress=False,
@@ -134,8 +134,8 @@
             self.server.application(),
             access_log=None,
             shutdown_timeout=5.0,
-            # Else a caller that leaves before the first token would hold
-            # its stream until an engine sends one.
+            # Cancels the stream of a caller that disconnects before the
+            # first token.
             handler_cancellation=True,
         )
         await self.runner.setup()
@@ -144,7 +144,7 @@
         loguru.logger.bind(http=str(config.http)).info('entry started')
 
     async def drain(self) -> None:
-        """Take nothing new, and wait for what is in progress."""
+        """Refuse new requests and wait for running ones to finish."""
         self.server.draining = True
         self.prober.leave()
         loguru.logger.info('draining')
@@ -153,7 +153,7 @@
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     async def close(self) -> None:
-        """Stop all parts."""
+        """Stop all tasks and close all sockets."""
         for task in list(self.background):
             task.cancel()
         await asyncio.gather(*self.background, return_exceptions=True)
@@ -163,7 +163,7 @@
         await self.transport.close()
 
     def spawn(self, coroutine: t.Coroutine[t.Any, t.Any, t.Any]) -> None:
-        """Run work in the background until the process closes."""
+        """Start a background task that :meth:`close` cancels."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self.background.add(task)
         task.add_done_callback(self._on_task_done)
@@ -186,9 +186,9 @@
 
 
 async def run_entry(config: settings.Entry) -> None:
-    """Run an entry until it is told to stop, then drain it.
+    """Run an entry until a signal stops it, then drain it.
 
-    A second signal stops it without waiting for its streams.
+    A second signal ends the drain at once.
     """
     process = EntryProcess(config)
     signals = asyncio.Queue[None]()
--- a/src/bulrushhold/composition/_forwarding.py
+++ b/src/bulrushhold/composition/_forwarding.py
@@ -1,4 +1,4 @@
-"""Wires and runs an entry that forwards opaque requests."""
+"""Builds and runs an entry that forwards opaque requests."""
 
 import asyncio
 import random
@@ -20,20 +20,21 @@
     from bulrushhold import ports
 
 DRAIN_CHECK_INTERVAL_S: t.Final = 0.1
-# Ports that answer at once need no time to close.
+# Short, as the auxiliary ports have no long requests.
 SHUTDOWN_TIMEOUT_S: t.Final = 0.2
-# Left of the time before the kill, for closing and for a busy machine.
+# Reserved for closing before the process is killed.
 EXIT_MARGIN_S: t.Final = 0.7
-# A request taken later than this before the end would be cut off.
+# Requests accepted later than this before the exit would be cut off.
 REFUSE_BEFORE_EXIT_S: t.Final = 2.0
 
 
 @attrs.frozen
 class ForwardingAdapters:
-    """What a forwarding entry is given from outside.
+    """Platform-specific components of a forwarding entry.
 
-    :param backends: makes the reader of the platform's list.
-    :param sites: further ports, with what each answers.
+    :param make_backend_list: returns the reader of the platform's list.
+    :param listeners: further ports, each with a factory for the application
+        that it serves.
     """
 
     caller_dialect: 'calls.CallerDialect'
@@ -50,7 +51,7 @@
 
 
 class ForwardingEntry:
-    """An entry that forwards opaque requests, with all its parts."""
+    """An entry that forwards opaque requests, with all its components."""
 
     def __init__(
         self, config: settings.Forwarding, adapters: ForwardingAdapters
@@ -61,7 +62,7 @@
         self.runners: list[web.AppRunner] = []
 
     async def start(self) -> None:
-        """Open the sockets, and serve."""
+        """Open the sockets and start serving."""
         from aiohttp import web
 
         from bulrushhold import decisions
@@ -134,11 +135,12 @@
         self.runners.append(runner)
 
     async def drain(self) -> None:
-        """Tell callers to leave, and serve those that still come.
+        """Ask callers to disconnect, and serve their requests meanwhile.
 
-        Callers learn late that this entry leaves, and a request may cross
-        a close unseen. So connections stay open until callers are gone,
-        and only then new requests are refused.
+        Callers learn with a delay that this entry is leaving, and a request
+        may be in flight while a connection is closed. Connections therefore
+        stay open as long as possible; new requests are refused only shortly
+        before the exit.
         """
         started_at = time.monotonic()
         self.fleet.leave()
@@ -158,7 +160,7 @@
                 break
 
     async def close(self) -> None:
-        """Stop all parts."""
+        """Stop all tasks and close all sockets."""
         tasks = [self.follow_task, *self.background]
         for task in tasks:
             task.cancel()
@@ -173,7 +175,7 @@
 
 
 async def run_forwarding(entry: ForwardingEntry) -> None:
-    """Run a forwarding entry until it is told to stop, then drain it."""
+    """Run a forwarding entry until a signal stops it, then drain it."""
     stop = asyncio.Event()
     _background.handle_stop_signals(stop.set)
     await entry.start()
--- a/src/bulrushhold/composition/_relay.py
+++ b/src/bulrushhold/composition/_relay.py
@@ -1,4 +1,4 @@
-"""Wires and runs a control process without a disk."""
+"""Builds and runs a relay: a control process without a disk."""
 
 import asyncio
 import typing as t
@@ -15,12 +15,15 @@
 
 
 class RelayProcess:
-    """A relay with its sockets.
+    """A relay with all its components.
 
-    :param peer: its own address among control processes.
-    :param data_centre: whose entries it serves.
-    :param link_mbps: of its instance.
-    :param contacts: other control processes; may be changed in place.
+    :param peer: address for messages from other processes.
+    :param data_centre: the data centre whose entries it serves.
+    :param contacts: addresses of other control processes; the caller may
+        change the list in place.
+    :param bootstraps: whether it selects the replica that bootstraps the
+        log.
+    :param link_mbps: network bandwidth of its instance.
     """
 
     def __init__(
@@ -47,7 +50,7 @@
     async def run(
         self, operators: settings.Address | None, app: 'web.Application'
     ) -> None:
-        """Serve operators with ``app`` until told to stop."""
+        """Serve entries, and operators with ``app``, until a signal."""
         from aiohttp import web
 
         stop = asyncio.Event()
--- a/src/bulrushhold/errors.py
+++ b/src/bulrushhold/errors.py
@@ -1,4 +1,4 @@
-"""The one exception tree; each error tells the step and the peer."""
+"""The exception hierarchy; each error names the failed step and the peer."""
 
 import enum
 import typing as t
@@ -7,10 +7,10 @@
 
 
 class Ran(enum.StrEnum):
-    """Whether a refused or failed request ran on a backend server.
+    """Whether a refused or failed request was executed by a backend server.
 
-    ``NO`` is said only where no byte of the request can have reached a
-    backend server, or where a claim that was never run has been closed.
+    ``NO`` is certain: no byte of the request reached a backend server, or
+    its claim was closed before it was executed.
     """
 
     NO = 'no'
@@ -20,11 +20,11 @@
 
 @attrs.define(slots=False)
 class BulrushholdError(Exception):
-    """Root of all errors of this project.
+    """Base class of all errors of this package.
 
-    :param reason: one line for the person who reads it.
-    :param step: the step of the work at which the error arose.
-    :param peer: the process or file with which it arose, or ``''``.
+    :param reason: a one-line message.
+    :param step: the operation that failed, or ``''``.
+    :param peer: the remote process or the file involved, or ``''``.
     """
 
     reason: str
@@ -40,42 +40,42 @@
 
 
 class SettingsError(BulrushholdError):
-    """A settings file can't be read or holds a wrong value."""
+    """A settings file can't be read or holds an invalid value."""
 
 
 class StorageError(BulrushholdError):
-    """The data folder can't be trusted or written; the process stops."""
+    """The data folder is damaged or can't be written."""
 
 
 class PeerError(BulrushholdError):
-    """Another process of the system gave no usable answer in time."""
+    """A peer process sent no valid reply in time."""
 
 
 class NotLeaderError(PeerError):
-    """The control instance asked isn't the leader, or lost its lease."""
+    """The control process is not the leader or lost its lease."""
 
 
 class RouteMapError(BulrushholdError):
-    """An operator's route map can't be read or obeyed; nothing changed."""
+    """A route map is invalid and was not applied."""
 
 
 class CellError(BulrushholdError):
-    """One wrong cell of a pushed table; ``step`` is row and column."""
+    """A cell of a pushed table is invalid; ``step`` is row and column."""
 
 
 class BackendError(BulrushholdError):
-    """A backend server failed, or its reply can't be used."""
+    """A backend server failed or sent an invalid reply."""
 
 
 class EngineLostError(BackendError):
-    """An engine died or went silent before its end mark."""
+    """An engine's stream broke off or stalled before its end."""
 
 
 @attrs.define(slots=False)
 class EngineRefusedError(BackendError):
-    """An engine answered, but won't run the request.
+    """An engine refused a request.
 
-    :param final: the request itself is at fault, for any engine.
+    :param final: whether every engine would refuse it.
     """
 
     final: bool = False
@@ -83,11 +83,11 @@
 
 @attrs.define(slots=False)
 class RequestError(BulrushholdError):
-    """The final, honest refusal of a caller's request.
+    """An error response to a caller's request.
 
-    :param ran: whether the request ran.
-    :param status: HTTP status of the refusal.
-    :param retry_after: seconds after which to come back, if that helps.
+    :param ran: whether the request was executed.
+    :param status: HTTP status of the response.
+    :param retry_after: seconds to wait before a retry, if one may help.
     """
 
     ran: Ran = Ran.NO
@@ -95,7 +95,7 @@
     retry_after: float | None = None
 
     def body(self) -> dict[str, t.Any]:
-        """Return the JSON error shape that every caller sees."""
+        """Return the JSON body of the error response."""
         error: dict[str, t.Any] = {
             'ran': self.ran.value,
             'step': self.step,
