--- a/src/bulrushhold/ports.py
+++ b/src/bulrushhold/ports.py
@@ -1,4 +1,4 @@
-"""Abstract base classes at the system's edges (ports)."""
+"""Ports: abstract base classes of the adapters, and the data they exchange."""
 
 import abc
 import collections.abc as cabc
@@ -12,42 +12,42 @@
 
 
 class Transport(abc.ABC):
-    """Carries messages between the system's own processes."""
+    """Carries messages between the processes of the system."""
 
     @abc.abstractmethod
     def handle(self, kind: type, handler: Handler) -> None:
         """Call ``handler`` for each message of ``kind``.
 
-        What it returns, unless ``None``, is the reply to a request.
+        Its return value, unless ``None``, is sent as the reply.
         """
 
     @abc.abstractmethod
     def send(self, address: str, message: messages.Message) -> None:
-        """Send one message; it may be lost, never delivered twice."""
+        """Send a message, which is delivered at most once."""
 
     @abc.abstractmethod
     async def request(
         self, address: str, message: messages.Message, timeout: float
     ) -> t.Any:
-        """Send a message and return its reply.
+        """Send a message and wait for its reply.
 
         :param timeout: seconds to wait.
-        :raises PeerError: where no reply came in time, or it failed.
+        :raises PeerError: on a timeout or an error reply.
         """
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Stop receiving and drop what is queued."""
+        """Stop receiving and drop queued messages."""
 
 
 @attrs.frozen
 class Event:
-    """One token or the end mark, as an engine sent it.
+    """A token or the end of stream, as sent by an engine.
 
-    :param request: the request id that the engine's reply names.
-    :param attempt: the attempt that the engine's reply names.
-    :param offset: of the token; of the end mark, the number of tokens.
-    :param finish: ``''`` for a token, else why the answer ended.
+    :param request: request id, echoed by the engine.
+    :param attempt: attempt number, echoed by the engine.
+    :param offset: position of the token; at the end, the number of tokens.
+    :param finish: ``''`` for a token, else the reason the stream finished.
     """
 
     request: str
@@ -59,9 +59,9 @@
 
 @attrs.frozen
 class Generate:
-    """What an engine is asked for.
+    """A request to an engine to generate tokens.
 
-    :param prefix: tokens already delivered, to be continued exactly.
+    :param prefix: tokens already delivered, which the engine continues.
     :param deadline_s: seconds until the first token is due.
     """
 
@@ -77,10 +77,10 @@
 
 @attrs.frozen
 class LoadReport:
-    """What an engine's reply told of itself.
+    """The load that an engine reports in its response.
 
-    :param running: requests running there, of all entries.
-    :param leaving: it asks for no new work, ahead of the platform's list.
+    :param running: requests that it runs, from all entries.
+    :param leaving: whether it is draining and wants no new requests.
     """
 
     running: int
@@ -88,9 +88,9 @@
 
 
 class EngineClient(abc.ABC):
-    """Speaks one protocol of model engines.
+    """Client for one protocol of model engines.
 
-    :param reports: address to the newest report; taken out by the reader.
+    :param reports: newest load report by address; the reader removes it.
     """
 
     reports: dict[str, LoadReport]
@@ -102,31 +102,30 @@
         order: Generate,
         take: cabc.Callable[[Event], bool],
     ) -> None:
-        """Give the engine's events to ``take`` until it returns ``False``.
+        """Pass each event to ``on_event`` until that returns ``False``.
 
-        A plain call for each event: an async generator would cost a
-        task's step and more for each token.
+        A callback is cheaper per token than an async generator.
 
-        :raises EngineLostError: where the stream breaks off before that.
-        :raises EngineRefusedError: where the engine won't run it.
+        :raises EngineLostError: if the stream breaks off before that.
+        :raises EngineRefusedError: if the engine refuses the request.
         """
 
     @abc.abstractmethod
     async def cancel(self, address: str, request: str, attempt: int) -> None:
-        """Tell the engine to stop an attempt; errors are of no use."""
+        """Ask the engine to stop an attempt; errors are ignored."""
 
     @abc.abstractmethod
     async def alive(self, address: str) -> bool:
-        """Whether anything accepts connections there.
+        """Whether a process accepts connections at the address.
 
-        ``False`` only where the connection was refused: the process is
-        gone, and not just slow.
+        ``False`` only if the connection is refused, as a timeout may mean
+        that the process is slow.
         """
 
 
 @attrs.frozen
 class ServiceCall:
-    """One call of a plain service."""
+    """A request to a plain service."""
 
     request: str
     method: str
@@ -139,7 +138,7 @@
 
 @attrs.frozen
 class ServiceAnswer:
-    """A plain service's whole answer."""
+    """The complete response of a plain service."""
 
     status: int
     body: bytes
@@ -147,25 +146,25 @@
 
 
 class ServiceClient(abc.ABC):
-    """Speaks HTTP to plain services."""
+    """HTTP client for plain services."""
 
     @abc.abstractmethod
     async def call(self, address: str, call: ServiceCall) -> ServiceAnswer:
-        """Make one call, once.
+        """Send a request without any retry.
 
-        :raises BackendError: with ``step`` ``connect`` only where no
-            byte of the call can have left.
+        :raises BackendError: its ``step`` is ``connect`` only if no byte of
+            the request was sent.
         """
 
 
 @attrs.frozen
 class BackendServer:
-    """A backend server as the platform lists it.
+    """A backend server in the platform's list.
 
     :param kind: ``engine`` or the name of a plain service.
-    :param models: name to version, of model and adapter; continuations
-        need the same version.
-    :param slots: requests that an engine runs well at once.
+    :param models: versions by name of model or adapter. A generation can
+        only be continued with the same version.
+    :param slots: concurrent requests that an engine runs efficiently.
     """
 
     name: str
@@ -179,7 +178,7 @@
 
 @attrs.frozen
 class Instance:
-    """An entry instance as the platform lists it."""
+    """An entry instance in the platform's list."""
 
     name: str
     data_centre: str
@@ -190,7 +189,7 @@
 
 @attrs.frozen
 class Platform:
-    """The platform's list; it lags behind what is true."""
+    """The platform's list of instances, which may be out of date."""
 
     entries: list[Instance] = attrs.field(factory=list)
     backend_servers: list[BackendServer] = attrs.field(factory=list)
@@ -201,9 +200,9 @@
 
     @abc.abstractmethod
     async def fetch(self) -> Platform | None:
-        """Return the list, or ``None`` where it hasn't changed.
+        """Return the list, or ``None`` if it has not changed.
 
-        :raises PeerError: where the platform can't be asked.
+        :raises PeerError: if the platform sends no valid response.
         """
 
 
@@ -212,14 +211,14 @@
 
     @abc.abstractmethod
     async def fetch(self) -> list[messages.ListedBackend]:
-        """Return the whole list, in an order that only changes with it.
+        """Return the whole list, in a stable order.
 
-        :raises PeerError: where the platform can't be asked.
+        :raises PeerError: if the platform sends no valid response.
         """
 
 
 class Metrics(abc.ABC):
-    """Counts and times; loses data rather than wait."""
+    """Records metrics without blocking; values may be lost."""
 
     @abc.abstractmethod
     def count(self, name: str, amount: int = 1) -> None:
@@ -227,15 +226,15 @@
 
     @abc.abstractmethod
     def time(self, name: str, seconds: float) -> None:
-        """Record one duration in seconds."""
+        """Record a duration in seconds."""
 
     @abc.abstractmethod
     def gauge(self, name: str, value: float) -> None:
-        """Set a level."""
+        """Set a gauge."""
 
 
 class LogStore(abc.ABC):
-    """Keeps a replica's log and snapshots through a crash."""
+    """Durable storage of a replica's log and snapshots."""
 
     @abc.abstractmethod
     def save(
@@ -244,9 +243,12 @@
         vote: str,
         entries: list[messages.LogEntry],
     ) -> None:
-        """Append and sync; an entry replaces all from its index on.
+        """Append entries and sync.
 
-        :raises StorageError: the process must then stop.
+        An entry replaces all earlier ones from its index on.
+
+        :raises StorageError: on a failed write; the store must not be used
+            any further.
         """
 
     @abc.abstractmethod
@@ -255,5 +257,6 @@
     ) -> None:
         """Replace the log by a snapshot and the entries after it.
 
-        :raises StorageError: the process must then stop.
+        :raises StorageError: on a failed write; the store must not be used
+            any further.
         """
--- a/src/bulrushhold/settings.py
+++ b/src/bulrushhold/settings.py
@@ -1,4 +1,4 @@
-"""Settings files: JSON with comments, checked whole before use."""
+"""Settings files: JSON5 documents, validated before use."""
 
 import os
 import pathlib
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Address:
-    """A TCP address by IP number."""
+    """A TCP address: an IP address and a port."""
 
     host: str = attrs.field(
         validator=_V.matches_re(r'(\d{1,3}\.){3}\d{1,3}|[0-9a-f:]+')
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class Metrics:
-    """Where statsd datagrams go."""
+    """Address of the statsd server."""
 
     host: str = '127.0.0.1'
     port: int = attrs.field(default=8125, validator=_PORT)
@@ -40,11 +40,15 @@
 
 @attrs.frozen
 class Recovery:
-    """How a generation goes on after its engine is lost.
+    """How a generation is resumed after its engine is lost.
 
-    Times are seconds. ``gap_factor`` times the engine's own recent p99
-    token gap, bounded by the two gap limits, is when silence counts as
-    a loss. A stream whose caller left is kept for ``orphan_s``.
+    The stall timeout is the engine's recent p99 gap between tokens times
+    ``gap_factor``, at least ``min_gap_s`` and at most ``max_gap_s``.
+
+    :param first_token_s: timeout for the first token.
+    :param orphan_s: how long a stream is kept after its caller disconnects.
+    :param extra_share: extra tokens that engines may generate for attempts
+        which prove unnecessary, per token delivered.
     """
 
     policy: t.Literal['thrifty', 'prompt'] = 'thrifty'
@@ -62,8 +66,8 @@
     """Copies of a transcript on other entries.
 
     :param count: copies besides the entry's own, 0 to 3.
-    :param batch_s: how long tokens gather before one append.
-    :param ack_s: how long an append waits before a home counts as lost.
+    :param batch_s: how long tokens are batched before an append.
+    :param ack_s: timeout for the acknowledgement of an append.
     :param keep_s: how long a transcript is kept after its last append.
     """
 
@@ -100,15 +104,15 @@
 class Control:
     """Settings of one control process.
 
-    :param replicas: name to peer address of every control instance.
-    :param election_s: least silence after which a leader is replaced.
-    :param contacts: control instances to ask, where this one is to join
-        a log whose members it doesn't know; it is then the only one in
-        ``replicas``.
-    :param voters: replicas that are to have a vote, an odd number; 0 for
-        as many as the log was founded with.
-    :param founds: this is the first start of the whole system; the
-        process may found the log, alone, and others join it.
+    :param replicas: peer addresses of all control instances by name.
+    :param election_s: minimum election timeout.
+    :param contacts: control instances to ask in order to join a log whose
+        members are unknown; ``replicas`` then holds this instance only.
+    :param voters: target number of voters, odd; 0 for as many as the log
+        was bootstrapped with.
+    :param founds: whether this is the first start of the cluster, so that
+        this process may bootstrap the log, which others then join.
+    :param snapshot_every: log entries after which the log is compacted.
     :param snapshot_bytes: size of the log after which it is compacted.
     """
 
@@ -140,12 +144,14 @@
 class Forwarding:
     """Settings of an entry that forwards opaque requests.
 
-    :param seeds: peer addresses of control processes; may be out of date.
-    :param repeat_ratio: repeats to backend servers, of all entries, for
-        each request of callers.
-    :param repeat_allowance: repeats in a window besides.
-    :param grace_s: from the signal to stop until the process is killed.
-    :param linger_s: how long callers may still come after that signal.
+    :param seeds: peer addresses of control processes; some may be stale.
+    :param repeat_ratio: retry budget: retries per request, summed over all
+        entries.
+    :param repeat_allowance: retries allowed per window in addition.
+    :param repeat_window_s: length of the retry budget's window.
+    :param grace_s: time from the stop signal until the process is killed.
+    :param linger_s: time after the stop signal in which new requests are
+        still expected.
     """
 
     name: str = attrs.field(validator=_NAME)
@@ -167,11 +173,11 @@
 
 
 def load(path: str | os.PathLike[str], role: type[_Role]) -> _Role:
-    """Read and check one settings file.
+    """Read and validate a settings file.
 
-    :param path: the file.
-    :param role: the class of its settings.
-    :raises SettingsError: on one line: file, path in it and reason.
+    :param role: the settings class to convert it to.
+    :raises SettingsError: with a one-line message that names the file and
+        the invalid field.
     """
     document = _parse(path)
     peer = os.fspath(path)
@@ -188,15 +194,15 @@
 
 
 def load_any(path: str | os.PathLike[str]) -> Entry | Control:
-    """Read a settings file of either role, told by ``data_dir``."""
+    """Read a settings file; ``data_dir`` marks that of a control process."""
     document = _parse(path)
     return load(path, Control if 'data_dir' in document else Entry)
 
 
 def read_key(path: str) -> str:
-    """Return the operator key that a file holds.
+    """Return the operator key stored in a file.
 
-    :raises SettingsError: where it can't be read or is too short.
+    :raises SettingsError: if the file is unreadable or the key too short.
     """
     try:
         key = pathlib.Path(path).read_text(encoding='utf-8').strip()
@@ -229,10 +235,10 @@
 
 
 def _unknown_field(value: t.Any, shape: t.Any, path: str) -> str | None:
-    """Return the path of the first field that ``shape`` doesn't know.
+    """Return the path of the first field that ``shape`` doesn't define.
 
-    msgspec passes over unknown fields of attrs classes; a misspelt
-    setting would then silently keep its default.
+    msgspec ignores unknown fields of attrs classes, so that a misspelt
+    setting would silently keep its default.
     """
     for option in t.get_args(shape) or (shape,):
         if isinstance(value, list) and attrs.has(option):
