--- a/src/bulrushhold/messages/_codec.py
+++ b/src/bulrushhold/messages/_codec.py
@@ -1,4 +1,4 @@
-"""The codec of all messages (MessagePack)."""
+"""Encodes and decodes messages as MessagePack."""
 
 import typing as t
 import zlib
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Failure:
-    """A peer's handler failed; carries the reason to the asker."""
+    """Error reply to a request whose handler failed."""
 
     reason: str
 
@@ -80,14 +80,14 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the wire form of a message: its name and its fields."""
+    """Return the wire format of a message: class name and fields."""
     return _ENCODER.encode((type(message).__name__, message))
 
 
 def decode(data: bytes) -> Message:
-    """Return the message in ``data``.
+    """Decode a message.
 
-    :raises PeerError: where it is malformed or of no known kind.
+    :raises PeerError: if it is malformed or of an unknown class.
     """
     try:
         name, body = _ENVELOPE.decode(data)
@@ -102,18 +102,14 @@
 
 
 def pack_map(route_map: routes.RouteMap) -> bytes:
-    """Return a route map in a form fit for many entries.
-
-    A map of 400 routes is 60 KB and packs to 5 KB; an entry may have a
-    link of 5 Mbit/s.
-    """
+    """Encode and compress a route map, as links to entries may be slow."""
     return zlib.compress(_ENCODER.encode(route_map), 3)
 
 
 def unpack_map(data: bytes) -> routes.RouteMap:
-    """Return the route map in ``data``.
+    """Decompress and decode a route map.
 
-    :raises PeerError: where it is malformed.
+    :raises PeerError: if it is malformed.
     """
     try:
         return _MAP_DECODER.decode(zlib.decompress(data))
--- a/src/bulrushhold/messages/_entries.py
+++ b/src/bulrushhold/messages/_entries.py
@@ -1,18 +1,18 @@
-"""Messages among entries: pointers, copies, quotas, membership."""
+"""Messages between entries: pointers, copies, quotas, membership."""
 
 import attrs
 
 
 @attrs.frozen
 class PointerTake:
-    """Registers who serves a key, at the key's pointer homes.
-
-    :param epoch: of the entry that asks; the highest wins.
-    :param copies: addresses that will hold this entry's transcript.
-    :param begins: the entry begins a new text; copies written before
-        this epoch are of a former one.
-    :param since: the epoch that began the text, where the entry that
-        serves it refreshes the pointer; else 0.
+    """Registers the entry that serves a key at the key's pointer homes.
+
+    :param epoch: epoch of the sender; the highest one wins.
+    :param copies: addresses that will hold copies of the transcript.
+    :param begins: whether a new text begins with this epoch, which
+        invalidates copies of earlier epochs.
+    :param since: the epoch that began the text, if the serving entry
+        refreshes its pointer, else 0.
     """
 
     key: str
@@ -25,13 +25,14 @@
 
 @attrs.frozen
 class PointerState:
-    """Answers :class:`PointerTake`.
-
-    :param epoch: the epoch now in force at this home.
-    :param former: addresses with the former entry's transcript.
-    :param since: the epoch that began the newest text, 0 for none.
-    :param sure: the home knows the key, or has run for long enough to
-        know every key in use.
+    """Reply to :class:`PointerTake`.
+
+    :param epoch: the current epoch at this home.
+    :param former: addresses that hold the previous entry's transcript.
+    :param since: the epoch that began the newest text, or 0.
+    :param sure: whether the home holds the key, or has been up for long
+        enough to hold every key in use.
+    :param mismatch: whether the key is in use with another fingerprint.
     """
 
     granted: bool
@@ -44,12 +45,12 @@
 
 @attrs.frozen
 class CopyAppend:
-    """Tokens for the copy of one transcript.
+    """Tokens to append to the copy of a transcript.
 
-    :param epoch: of the entry that serves the request; higher wins.
-    :param offset: position of the first of ``tokens``.
-    :param version: of the model that produced them.
-    :param finish: why the generation ended, with its last append.
+    :param epoch: epoch of the sender; the highest one wins.
+    :param offset: position of the first token.
+    :param version: version of the model that generated the tokens.
+    :param finish: in the last append, why the generation finished.
     """
 
     key: str
@@ -62,18 +63,18 @@
 
 @attrs.frozen
 class CopyBatch:
-    """All appends of one entry for one peer since the last batch."""
+    """All appends from an entry to one peer since the last batch."""
 
     appends: list[CopyAppend]
 
 
 @attrs.frozen
 class CopyAck:
-    """What became of one append that wasn't simply stored.
+    """Result of an append that was not stored as sent.
 
     :param number: position of the append in its batch.
-    :param ok: ``False`` where a higher epoch fences the sender.
-    :param length: tokens that the copy now holds.
+    :param ok: ``False`` if a higher epoch fences the sender.
+    :param length: number of tokens that the copy holds.
     """
 
     number: int
@@ -83,14 +84,14 @@
 
 @attrs.frozen
 class CopyBatchAck:
-    """Answers :class:`CopyBatch`; appends it doesn't name were stored."""
+    """Reply to :class:`CopyBatch`; appends not listed were stored."""
 
     exceptions: list[CopyAck]
 
 
 @attrs.frozen
 class CopyTake:
-    """Asks for a key's copy and fences the entry that wrote it."""
+    """Reads the copy of a key and fences the entry that wrote it."""
 
     key: str
     epoch: int
@@ -98,9 +99,9 @@
 
 @attrs.frozen
 class CopyState:
-    """Answers :class:`CopyTake` with what the peer holds.
+    """Reply to :class:`CopyTake` with the peer's copy.
 
-    :param written: epoch of the entry that wrote the tokens, 0 for none.
+    :param written: epoch of the entry that wrote the tokens, or 0.
     """
 
     granted: bool
@@ -113,14 +114,15 @@
 
 @attrs.frozen
 class QuotaAsk:
-    """Asks a row's home for a lease on its limits.
+    """Requests a lease on a share of a row's limits from the row's home.
 
     :param row: key of the row.
-    :param holder: the asking entry.
-    :param want: the asker's claim to a part, relative to others'.
-    :param need: requests at once that it could use now.
-    :param running: those that run beyond the floor.
-    :param entries: entries that the asker counts, for the floor.
+    :param holder: the requesting entry.
+    :param want: weight of the requested share, relative to other entries.
+    :param need: concurrent requests that the entry could use now.
+    :param running: running requests above the guaranteed minimum.
+    :param entries: number of entries that the sender counts, which sets the
+        guaranteed minimum.
     """
 
     row: str
@@ -133,7 +135,7 @@
 
 @attrs.frozen
 class QuotaGrant:
-    """A lease: tokens a second and requests at once, for some seconds."""
+    """A lease on a token rate per second and on concurrent requests."""
 
     rate: float
     slots: int
@@ -142,9 +144,9 @@
 
 @attrs.frozen
 class MemberNews:
-    """What is said of one entry.
+    """A gossip update about one entry.
 
-    :param incarnation: the entry's own number; only it may raise it.
+    :param incarnation: incarnation number; only the entry itself raises it.
     :param status: a value of the membership's ``Status``.
     """
 
@@ -155,14 +157,14 @@
 
 @attrs.frozen
 class Probe:
-    """Asks an entry for a sign of life, and tells it news."""
+    """A liveness probe, with gossip updates."""
 
     news: list[MemberNews]
 
 
 @attrs.frozen
 class ProbeFor:
-    """Asks an entry to probe another one, by its address."""
+    """Asks an entry to probe another one at the address ``target``."""
 
     target: str
     news: list[MemberNews]
@@ -170,7 +172,7 @@
 
 @attrs.frozen
 class ProbeReply:
-    """Answers :class:`Probe` and :class:`ProbeFor`."""
+    """Reply to :class:`Probe` and :class:`ProbeFor`."""
 
     answered: bool
     news: list[MemberNews]
--- a/src/bulrushhold/messages/_fleet.py
+++ b/src/bulrushhold/messages/_fleet.py
@@ -1,14 +1,14 @@
-"""Messages between control and entries that forward opaque requests."""
+"""Messages between control processes and forwarding entries."""
 
 import attrs
 
 
 @attrs.frozen
 class RouteMapPut:
-    """Replaces the route map, unless one as new is there already.
+    """Replaces the route map unless the current version is at least as new.
 
-    :param packed: the map, as :func:`pack_map` writes it.
-    :param source: the operator's own document, to be read back as sent.
+    :param packed: the map as encoded by :func:`pack_map`.
+    :param source: the operator's document, returned unchanged on reads.
     """
 
     version: int
@@ -18,19 +18,19 @@
 
 @attrs.frozen
 class RouteMapOutcome:
-    """The version in force after a :class:`RouteMapPut`."""
+    """The current version after a :class:`RouteMapPut`."""
 
     version: int
 
 
 @attrs.frozen
 class RouteMapRead:
-    """Asks the leader for the operator's newest document."""
+    """Requests the newest route map document from the leader."""
 
 
 @attrs.frozen
 class RouteMapReply:
-    """Answers :class:`RouteMapRead`; version 0 where there is none yet."""
+    """Reply to :class:`RouteMapRead`; version 0 if there is no map."""
 
     status: str
     leader: str = ''
@@ -40,9 +40,9 @@
 
 @attrs.frozen
 class ListedBackend:
-    """A backend server as the platform lists it.
+    """A backend server in the platform's list.
 
-    :param ident: of one start of it; another start has another.
+    :param ident: identifies one start of the server.
     """
 
     ident: str
@@ -55,10 +55,10 @@
 
 @attrs.frozen
 class ListedEntry:
-    """An entry as the leader of control last heard of it.
+    """An entry as last reported to the leader.
 
     :param callers: address that callers connect to.
-    :param ready: takes new callers.
+    :param ready: whether it accepts new callers.
     """
 
     name: str
@@ -69,11 +69,11 @@
 
 @attrs.frozen
 class EngineLoad:
-    """What entries have running on one engine.
+    """Load on one engine.
 
-    :param reading: prompt tokens that have shown no event yet.
-    :param running: streams.
-    :param memory: tokens of streams, and of copies kept for others.
+    :param reading: prompt tokens of requests without a first event.
+    :param running: number of running streams.
+    :param memory: tokens held for streams and for copies.
     """
 
     reading: int
@@ -83,11 +83,11 @@
 
 @attrs.frozen
 class ServiceTraffic:
-    """Requests to a service within the window of the repeat budget.
+    """Requests to a service within the window of the retry budget.
 
-    :param firsts: that callers sent.
-    :param repeats: that were sent to a backend server once more.
-    :param waiting: streams that are held until an engine can take them.
+    :param firsts: requests from callers.
+    :param repeats: retries sent to backend servers.
+    :param waiting: streams queued until an engine has capacity.
     """
 
     firsts: int
@@ -97,9 +97,9 @@
 
 @attrs.frozen
 class CrashReport:
-    """An engine crashed alone, with this request on it.
+    """A crash of a single engine that was running a request.
 
-    :param fingerprint: of the request and all its repetitions.
+    :param fingerprint: identifies the request across retries.
     """
 
     fingerprint: str
@@ -108,17 +108,18 @@
 
 @attrs.frozen
 class EngineSpeed:
-    """What was lately seen of a service's engines; adds up over entries.
-
-    Sums, in which what was seen longer ago counts less.
-
-    :param tokens: of prompts that were read, and of those ahead of them.
-    :param read_s: seconds from sending them to their first events.
-    :param pauses: between events of runs.
-    :param pause_s: their seconds.
-    :param pause_sq: the squares of their seconds.
-    :param runs: streams written whole by one engine.
-    :param run_s: seconds from sending them to their last events.
+    """Recent speed of a service's engines.
+
+    All fields are sums with exponential decay, so that reports of several
+    entries can be added.
+
+    :param tokens: tokens of prompts read, and of prompts queued before them.
+    :param read_s: time from sending prompts to their first events.
+    :param pauses: number of gaps between the events of streams.
+    :param pause_s: total duration of the gaps.
+    :param pause_sq: sum of the squared durations of the gaps.
+    :param runs: streams completed by a single engine.
+    :param run_s: time from sending them to their last events.
     """
 
     tokens: float = 0.0
@@ -132,13 +133,15 @@
 
 @attrs.frozen
 class LoadReport:
-    """What one entry has running; replaces its report before.
-
-    :param lost: engines that it has just lost.
-    :param replaced: engines at whose address it has just found another one.
-    :param traffic: by service.
-    :param crashes: since its report before.
-    :param speeds: by service.
+    """The load of one entry; replaces its previous report.
+
+    :param engines: load by engine.
+    :param lost: engines lost since the previous report.
+    :param replaced: engines replaced by another one at the same address
+        since the previous report.
+    :param traffic: traffic by service.
+    :param crashes: crash reports since the previous report.
+    :param speeds: engine speed by service.
     """
 
     entry: str
@@ -151,26 +154,26 @@
 
     @property
     def urgent(self) -> bool:
-        """Whether it holds news that no later report repeats."""
+        """Whether it holds events that no later report repeats."""
         return bool(self.lost or self.replaced or self.crashes)
 
 
 @attrs.frozen
 class Received:
-    """Acknowledges a message that is sent again otherwise."""
+    """Acknowledges a message, which is resent otherwise."""
 
 
 @attrs.frozen
 class NodeLoad:
-    """The sum of the entries at one control process, for the others.
+    """The total load of the entries attached to one control process.
 
     :param node: peer address of the sender.
     :param incarnation: differs between starts of the sender.
-    :param number: of the sum; counts up.
-    :param since: number that the receiver must have; the sum holds events
-        and engines that have changed since then. With 0 it holds all.
-    :param acknowledged: by peer address, its incarnation and the number of
-        its newest sum that has arrived.
+    :param number: sequence number of the sum.
+    :param since: sequence number that the sum is a difference to; it holds
+        the events and engines that changed after it. With 0 it holds all.
+    :param acknowledged: incarnation and sequence number of the newest sum
+        received, by peer address.
     """
 
     node: str
@@ -184,18 +187,20 @@
 
 @attrs.frozen
 class LoadSummary:
-    """What all other entries have running.
-
-    :param number: of the summary; counts up while one process makes them.
-    :param since: number of the summary to which this one is a difference:
-        it holds the engines that have changed. With 0 it holds all.
-    :param lost: engines lost since the number that was asked with.
-    :param replaced: since then.
-    :param traffic: by service.
-    :param crashes: since then.
-    :param speeds: by service.
-    :param age_s: of the oldest sum in it.
+    """The total load of all other entries.
+
+    :param number: sequence number; restarts with the control process.
+    :param engines: load by engine.
+    :param lost: engines lost since the number given in the request.
+    :param replaced: engines replaced since the number given in the request.
+    :param traffic: traffic by service.
+    :param crashes: crash reports since the number given in the request.
+    :param speeds: engine speed by service.
+    :param age_s: age of the oldest sum included.
     :param silent: data centres whose sums are missing.
+    :param since: sequence number of the summary that this one is a
+        difference to; it holds the engines that changed. With 0 it holds
+        all.
     """
 
     number: int
@@ -212,12 +217,11 @@
 
 @attrs.frozen
 class ControlNode:
-    """A control process, as entries and its peers find it.
+    """A control process.
 
-    :param address: for messages between processes.
-    :param replica: it keeps the log; one that doesn't has more time for
-        entries.
-    :param link_mbps: of its instance.
+    :param address: address for messages between processes.
+    :param replica: whether it stores the log; entries prefer a relay.
+    :param link_mbps: network bandwidth of its instance.
     """
 
     address: str
@@ -228,9 +232,9 @@
 
 @attrs.frozen
 class Known:
-    """Versions of what the asking process already has.
+    """Versions of the data that the requesting process already has.
 
-    :param route_map: in force there; 0 for none.
+    :param route_map: version of the current route map; 0 for none.
     """
 
     route_map: int = 0
@@ -241,11 +245,11 @@
 
 @attrs.frozen
 class Watch:
-    """An entry's long poll: answered as soon as there is news.
+    """An entry's long poll, answered as soon as something changes.
 
-    :param entry: the asking entry, which so stays listed.
+    :param entry: the requesting entry; the poll is also its heartbeat.
+    :param hold_s: maximum time until the reply.
     :param known_loads: number of its newest summary from this process.
-    :param hold_s: answer after this time, with news or without.
     """
 
     entry: ListedEntry
@@ -256,9 +260,9 @@
 
 @attrs.frozen
 class NodeWatch:
-    """A control process's long poll at the leader.
+    """A control process's long poll to the leader.
 
-    :param entries: that are attached to the asking process.
+    :param entries: entries attached to the requesting process.
     """
 
     node: ControlNode
@@ -269,12 +273,12 @@
 
 @attrs.frozen
 class WatchReply:
-    """Answers a long poll; what hasn't changed is ``None``.
+    """Reply to a long poll; unchanged parts are ``None``.
 
     :param core: addresses of the replicas.
-    :param route_map: compressed; see :func:`pack_map`.
-    :param map_version: of the route map that is known here.
-    :param backends_age_s: since the platform's list was read.
+    :param route_map: the map as encoded by :func:`pack_map`.
+    :param map_version: version of the sender's route map.
+    :param backends_age_s: time since the platform's list was read.
     """
 
     status: str
@@ -293,12 +297,13 @@
 
 
 def is_newer(version: str, known: str) -> bool:
-    """Whether a version of a leader's news is newer than another one.
+    """Whether a version of a part of the cluster view is newer than another.
 
     :param version: ``TERM.NUMBER``, or ``''`` for none.
+    :param known: the version to compare with, in the same format.
     """
-    return _order(version) > _order(known)
+    return _version_key(version) > _version_key(known)
 
 
-def _order(version: str) -> tuple[int, ...]:
+def _version_key(version: str) -> tuple[int, ...]:
     return tuple(map(int, version.split('.'))) if version else ()
--- a/src/bulrushhold/messages/_log.py
+++ b/src/bulrushhold/messages/_log.py
@@ -1,4 +1,4 @@
-"""Messages between replicas, and what the log holds."""
+"""Messages between replicas, and the entries of the replicated log."""
 
 import typing as t
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class LogEntry:
-    """One entry of the replicated log.
+    """An entry of the replicated log.
 
     :param kind: one of the ``KIND_`` constants.
     """
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class Config:
-    """Members of the replicated log: replica identity to address."""
+    """Members of the replicated log: addresses by replica identity."""
 
     voters: dict[str, str] = attrs.field(factory=dict)
     learners: dict[str, str] = attrs.field(factory=dict)
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class VoteRequest:
-    """Asks for a vote; a pre-vote only asks whether one would be given."""
+    """Requests a vote, or with ``pre`` a pre-vote."""
 
     term: int
     candidate: str
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class VoteReply:
-    """Answers :class:`VoteRequest`; ``asked`` is the term asked for."""
+    """Reply to :class:`VoteRequest`; ``asked`` is the requested term."""
 
     term: int
     voter: str
@@ -55,7 +55,10 @@
 
 @attrs.frozen
 class AppendRequest:
-    """Entries, or a heartbeat; ``beat`` counts the leader's beats."""
+    """Appends entries; without any it is a heartbeat.
+
+    :param beat: sequence number of the leader's heartbeats.
+    """
 
     term: int
     leader: str
@@ -68,9 +71,10 @@
 
 @attrs.frozen
 class AppendReply:
-    """Answers :class:`AppendRequest` and :class:`InstallSnapshot`.
+    """Reply to :class:`AppendRequest` and :class:`InstallSnapshot`.
 
-    :param match: last index known equal (success) or to try next.
+    :param match: on success the last matching index, else the index to try
+        next.
     """
 
     term: int
@@ -82,7 +86,7 @@
 
 @attrs.frozen
 class InstallSnapshot:
-    """The whole state, for a follower behind the log's first entry."""
+    """A snapshot for a follower that lags behind the leader's log start."""
 
     term: int
     leader: str
@@ -95,7 +99,7 @@
 
 @attrs.frozen
 class JoinRequest:
-    """A replica with an empty disk asks to be a learner."""
+    """Request of a replica with an empty disk to become a learner."""
 
     replica: str
     address: str
@@ -103,10 +107,10 @@
 
 @attrs.frozen
 class JoinReply:
-    """Tells a replica that asked to join where the members are.
+    """Reply to :class:`JoinRequest` with the current members.
 
-    Its own log is empty, and the instances it was told of may be gone:
-    without this it couldn't answer the leader that sends it the log.
+    The joining replica has an empty log and may be configured with stale
+    addresses; without the members it could not reply to the leader.
     """
 
     config: Config
@@ -114,19 +118,19 @@
 
 @attrs.frozen
 class Found:
-    """Tells the one replica that is to found the log to do so."""
+    """Orders a replica to bootstrap the log."""
 
 
 @attrs.frozen
 class CoreRead:
-    """Asks a control process who leads, and who the members are."""
+    """Requests leader and members from a control process."""
 
 
 @attrs.frozen
 class CoreReply:
-    """Answers :class:`CoreRead`.
+    """Reply to :class:`CoreRead`.
 
-    :param leader: its address, or ``''`` where unknown.
+    :param leader: address of the leader, or ``''`` if unknown.
     """
 
     leader: str
--- a/src/bulrushhold/messages/_state.py
+++ b/src/bulrushhold/messages/_state.py
@@ -1,18 +1,18 @@
-"""Commands and reads of the replicated state: table, claims, refusals."""
+"""Commands and reads of the replicated state: table, claims, quarantine."""
 
 import attrs
 
 
 @attrs.frozen
 class Row:
-    """One row of the table: a client account's limits for a kind of work.
+    """A row of the table: a client account's limits for a kind of work.
 
     :param weight: share under overload, relative to other rows.
-    :param token_rate: engine tokens a second; 0 means no limit.
-    :param concurrency: requests at once; 0 means no limit.
+    :param token_rate: engine tokens per second; 0 means no limit.
+    :param concurrency: concurrent requests; 0 means no limit.
     :param deadline_s: seconds within which the first token is due.
-    :param priority: passed on to engines; lower goes first.
-    :param idempotent: whether the call may be repeated.
+    :param priority: passed on to engines; lower values are served first.
+    :param idempotent: whether the call may be retried.
     """
 
     account: str
@@ -26,21 +26,21 @@
 
     @property
     def key(self) -> str:
-        """Name of the row in the table."""
+        """The key of the row in the table."""
         return f'{self.account}/{self.work}'
 
 
 @attrs.frozen
 class TableEdit:
-    """What one push changes in the table as of ``base``.
+    """Changes that one push makes to the table.
 
-    Only rows that differ from those at ``base``: a whole table of 27,000
-    accounts in the log for each of 310 edits a day would be a gigabyte.
+    Holds only rows that differ from revision ``base``, to keep the log
+    small.
 
-    :param edit_id: names the edit; a resend returns its first outcome.
-    :param base: revision of the table that the operator had pulled.
-    :param rows: added or changed.
-    :param removed: keys of rows taken out.
+    :param edit_id: idempotency key; a resend returns the first outcome.
+    :param base: revision of the table that the operator pulled.
+    :param rows: added or changed rows.
+    :param removed: keys of removed rows.
     """
 
     edit_id: str
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class Conflict:
-    """One cell changed by two operators; the accepted value stays."""
+    """A cell changed by two operators; the accepted value is kept."""
 
     row: str
     column: str
@@ -63,7 +63,7 @@
 
 @attrs.frozen
 class EditOutcome:
-    """What became of a :class:`TableEdit`."""
+    """Result of a :class:`TableEdit`."""
 
     accepted: bool
     revision: int
@@ -74,12 +74,12 @@
 
 @attrs.frozen
 class Claim:
-    """Reserves one run of a non-idempotent call.
+    """Reserves the single execution of a non-idempotent call.
 
     :param key: account and idempotency key.
-    :param key_time: seconds since the epoch that the key carries.
-    :param fingerprint: hash of the call, to refuse a key's reuse.
-    :param holder: the run that may go ahead if the claim is granted.
+    :param key_time: time in the key, in seconds since the Unix epoch.
+    :param fingerprint: hash of the call, to detect reuse of the key.
+    :param holder: the attempt that may proceed if the claim is granted.
     """
 
     key: str
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class ClaimEnd:
-    """Ends a claim: its outcome, or closed without a run."""
+    """Ends a claim with its outcome, or closes it without execution."""
 
     key: str
     holder: str
@@ -103,7 +103,7 @@
 class ClaimOutcome:
     """The state of a claim after a command.
 
-    :param granted: this holder may run the call, once.
+    :param granted: whether this holder may execute the call, once.
     :param state: ``open``, ``done``, ``closed``, ``expired`` or
         ``mismatch``.
     """
@@ -117,14 +117,14 @@
 
 @attrs.frozen
 class ForgetClaims:
-    """Moves the watermark before which claims are forgotten."""
+    """Advances the watermark before which claims are discarded."""
 
     before: float
 
 
 @attrs.frozen
 class Quarantine:
-    """Refuses a request content; ``lift`` takes it back."""
+    """Quarantines a request content, or with ``lift`` releases it."""
 
     fingerprint: str
     reason: str
@@ -134,18 +134,18 @@
 
 @attrs.frozen
 class Proposal:
-    """A command for the replicated state, in its encoded form."""
+    """An encoded command for the replicated state."""
 
     command: bytes
 
 
 @attrs.frozen
 class ProposalReply:
-    """Answers :class:`Proposal`.
+    """Reply to :class:`Proposal`.
 
     :param status: ``done``, ``not_leader`` (it was not proposed) or
-        ``unknown`` (it may yet be committed).
-    :param leader: address of the leader, where known.
+        ``unknown`` (it may still be committed).
+    :param leader: address of the leader, if known.
     """
 
     status: str
@@ -155,16 +155,16 @@
 
 @attrs.frozen
 class Suspected:
-    """Contents that ran on an engine when it died."""
+    """Request contents that an engine was running when it died."""
 
     fingerprints: list[str]
 
 
 @attrs.frozen
 class Refusals:
-    """Contents that are refused, and those that may become so.
+    """Quarantined request contents, and candidates for quarantine.
 
-    :param suspects: each has seen one engine die.
+    :param suspects: contents that were running when one engine died.
     """
 
     quarantined: list[str]
@@ -173,13 +173,12 @@
 
 @attrs.frozen
 class TableRead:
-    """Asks the leader for what changed after revision ``known``.
+    """Requests the changes after revision ``known`` from the leader.
 
-    :param instance: the asking entry, whose revision in force is kept;
-        ``''`` for an operator's pull.
-    :param known_refusals: revision of quarantine and suspects it has.
-    :param at: if not negative, the whole table as of this revision is
-        wanted.
+    :param instance: the requesting entry, whose applied revision is
+        recorded; ``''`` for an operator's pull.
+    :param known_refusals: revision of its :class:`Refusals`.
+    :param at: if not negative, requests the whole table at this revision.
     """
 
     known: int
@@ -190,7 +189,7 @@
 
 @attrs.frozen
 class TableReply:
-    """The table under the leader's lease, whole or as a change."""
+    """The table, whole or as changes, read under the leader's lease."""
 
     status: str
     leader: str = ''
@@ -204,14 +203,14 @@
 
 @attrs.frozen
 class HistoryRead:
-    """Asks for the table's edits, newest first."""
+    """Requests the accepted edits of the table, newest first."""
 
     limit: int = 50
 
 
 @attrs.frozen
 class HistoryItem:
-    """One accepted edit."""
+    """An accepted edit of the table."""
 
     revision: int
     author: str
@@ -221,7 +220,7 @@
 
 @attrs.frozen
 class HistoryReply:
-    """Answers :class:`HistoryRead`."""
+    """Reply to :class:`HistoryRead`."""
 
     status: str
     leader: str = ''
@@ -230,15 +229,15 @@
 
 @attrs.frozen
 class StatusRead:
-    """Asks a process for its status."""
+    """Requests the status of a control process."""
 
 
 @attrs.frozen
 class StatusReply:
     """The status of a control process.
 
-    :param in_force: instance to revision in force and seconds since it
-        was last heard; only the leader knows.
+    :param in_force: applied revision, and seconds since it was reported, by
+        instance; known to the leader only.
     """
 
     replica: str
