--- a/src/bulrushhold/control/_calls.py
+++ b/src/bulrushhold/control/_calls.py
@@ -59,7 +59,7 @@
     async def _request_leader(self, request: messages.Message) -> t.Any:
         operation = type(request).__name__
         deadline = time.monotonic() + CALL_TIMEOUT_S
-        last_error = errors.PeerError('the leader is unknown', operation)
+        last_error = errors.PeerError('no leader is known', operation)
         while time.monotonic() < deadline:
             reply = await self.handle_locally(request)
             leader = self.leader()
--- a/src/bulrushhold/control/_server.py
+++ b/src/bulrushhold/control/_server.py
@@ -256,7 +256,7 @@
         if config is not None and self.replica.change_config(config):
             node.log_decision(
                 'membership',
-                reason='an empty replica joined as a learner',
+                reason='an empty replica joins as a learner',
                 voters=sorted(config.voters),
                 learners=sorted(config.learners),
             )
