--- a/tests/test_fleet_control.py
+++ b/tests/test_fleet_control.py
@@ -20,7 +20,7 @@
 ]
 
 
-class Listing(ports.BackendList):
+class StaticBackendList(ports.BackendList):
     async def fetch(self):
         return ENGINES
 
@@ -39,7 +39,7 @@
         peers = {name: self.core.address() for name in 'xyz'}
         for name, peer in peers.items():
             server = self.core.start(name, peer, peers)
-            fleet = control.FleetControl(server, 'x', Listing())
+            fleet = control.FleetControl(server, 'x', StaticBackendList())
             self.run(name, fleet.run())
         contacts = list(map(str, peers.values()))
         for name in 'ab':
@@ -53,12 +53,14 @@
     def put(self, version):
         route_map = routes.RouteMap(version, [], [routes.Service('engines')])
         packed = messages.pack_map(route_map)
-        order = messages.RouteMapPut(version, packed, b'source')
-        self.core.leader().replica.propose(messages.encode(order))
+        command = messages.RouteMapPut(version, packed, b'source')
+        self.core.leader().replica.propose(messages.encode(command))
         self.core.leader().work.set()
 
-    def run(self, name, work):
-        self.tasks.setdefault(name, []).append(asyncio.ensure_future(work))
+    def run(self, name, coroutine):
+        self.tasks.setdefault(name, []).append(
+            asyncio.ensure_future(coroutine)
+        )
 
     def start_relay(self, name, contacts):
         address = str(self.core.address())
@@ -77,7 +79,7 @@
             messages.ListedEntry(f'e-{name}', name, '10.0.1.1:80', True),
             contacts,
             transport,
-            Listing(),
+            StaticBackendList(),
             placement,
             decisions.RepeatBudget(1.0, 100, 10.0),
             decisions.Crashers(placement.lost_near),
@@ -106,7 +108,7 @@
         for name in list(self.tasks):
             await self.stop(name)
 
-    async def sees_running(self, count):
+    async def wait_for_running(self, count):
         """Wait until entry b sees so many streams of entry a."""
         backend = self.entries['b'].placement.backends['i1']
         await self.core.until(lambda: backend.others.running == count)
@@ -114,28 +116,28 @@
 
 @pytest_asyncio.fixture
 async def fleet(core):
-    made = Fleet(core)
-    await made.start()
-    yield made
-    await made.close()
+    running_fleet = Fleet(core)
+    await running_fleet.start()
+    yield running_fleet
+    await running_fleet.close()
 
 
 async def test_entries_use_the_relay_of_their_data_centre(fleet):
     placement = fleet.entries['a'].placement
     placement.began(placement.backends['i1'], 8000)
-    begun = time.monotonic()
-    await fleet.sees_running(1)
-    assert time.monotonic() - begun < 0.3
+    started_at = time.monotonic()
+    await fleet.wait_for_running(1)
+    assert time.monotonic() - started_at < 0.3
 
 
-async def test_a_loss_reaches_other_data_centres_at_once(fleet):
+async def test_a_lost_engine_is_reported_to_other_data_centres_at_once(fleet):
     now = time.monotonic()
     fleet.entries['a'].placement.failed('i2', now, gone=True)
     backend = fleet.entries['b'].placement.backends['i2']
     await fleet.core.until(lambda: backend.suspect_until > now, 0.3)
 
 
-async def test_load_is_shared_while_the_leader_is_gone(fleet):
+async def test_load_is_shared_without_a_leader(fleet):
     """Guards against entries that are blind while a leader is replaced."""
     leader = fleet.core.leader().config.name
     await fleet.stop(leader)
@@ -144,34 +146,34 @@
     for count in range(1, 6):
         placement.began(placement.backends['i1'], 8000)
         async with asyncio.timeout(0.3):
-            await fleet.sees_running(count)
+            await fleet.wait_for_running(count)
 
 
-async def test_a_lost_relay_is_replaced_and_nothing_is_lost(fleet):
+async def test_entries_fail_over_from_a_stopped_relay(fleet):
     """Guards against a data centre that is blind without its relay."""
     await fleet.stop('relay-a')
     entry = fleet.entries['a']
     entry.placement.failed('i3', time.monotonic(), gone=True)
     entry.placement.began(entry.placement.backends['i1'], 8000)
-    begun = time.monotonic()
-    await fleet.sees_running(1)
-    assert time.monotonic() - begun < 1.5
+    started_at = time.monotonic()
+    await fleet.wait_for_running(1)
+    assert time.monotonic() - started_at < 1.5
     assert fleet.entries['b'].placement.backends['i3'].suspect_until
     fleet.put(2)
     await fleet.core.until(lambda: entry.map_version == 2, 1.0)
     assert entry.count() == 2
 
 
-async def test_a_new_map_is_in_force_in_all_data_centres(fleet):
+async def test_a_new_route_map_reaches_all_data_centres(fleet):
     fleet.put(5)
     for entry in fleet.entries.values():
         await fleet.core.until(lambda e=entry: e.map_version == 5, 1.0)
 
 
-async def test_entries_that_left_a_process_are_not_counted_there(fleet):
+async def test_a_stopped_entry_is_no_longer_counted(fleet):
     """Guards against loads that count twice after entries have moved."""
     placement = fleet.entries['a'].placement
     placement.began(placement.backends['i1'], 8000)
-    await fleet.sees_running(1)
+    await fleet.wait_for_running(1)
     await fleet.stop('a')
-    await fleet.sees_running(0)
+    await fleet.wait_for_running(0)
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -19,18 +19,18 @@
     return peers
 
 
-async def test_a_newcomer_at_another_address_becomes_a_voter(core):
+async def test_an_empty_replica_at_a_new_address_becomes_a_voter(core):
     # A core machine is gone for good. An empty one comes elsewhere, and
     # knows the others only from a list that still names the lost one. If it
     # can't answer the leader, it never catches up, and the next lost disk
     # takes the last copy but one of what was acknowledged.
     peers = await start_core(core)
-    lost = next(n for n in 'abc' if core.running[n][0] is not core.leader())
-    await core.stop(lost)
-    newcomer = core.start('d', core.address(), contacts=peers.values())
-    wanted = sorted({'a', 'b', 'c', 'd'} - {lost})
-    await core.until(lambda: core.voters() == wanted)
-    assert newcomer.state.map_version == 7
+    stopped = next(n for n in 'abc' if core.running[n][0] is not core.leader())
+    await core.stop(stopped)
+    replacement = core.start('d', core.address(), contacts=peers.values())
+    expected_voters = sorted({'a', 'b', 'c', 'd'} - {stopped})
+    await core.until(lambda: core.voters() == expected_voters)
+    assert replacement.state.map_version == 7
     second = next(
         n
         for n in core.running
@@ -42,34 +42,36 @@
     assert reply.status == 'done'
 
 
-async def test_an_instance_that_lost_its_disk_becomes_a_voter_again(core):
+async def test_a_replica_that_lost_its_disk_becomes_a_voter_again(core):
     peers = await start_core(core)
-    lost = next(n for n in 'abc' if core.running[n][0] is not core.leader())
-    await core.stop(lost)
-    for file in (core.folder / lost).iterdir():
+    stopped = next(n for n in 'abc' if core.running[n][0] is not core.leader())
+    await core.stop(stopped)
+    for file in (core.folder / stopped).iterdir():
         file.unlink()
-    others = [peer for name, peer in peers.items() if name != lost]
-    again = core.start(lost, peers[lost], contacts=[peers[lost], *others])
-    ident = again.replica.ident
+    others = [peer for name, peer in peers.items() if name != stopped]
+    restarted = core.start(
+        stopped, peers[stopped], contacts=[peers[stopped], *others]
+    )
+    ident = restarted.replica.ident
     await core.until(
         lambda: core.leader() is not None
         and ident in core.leader().replica.config.voters
     )
     await core.until(lambda: core.voters() == ['a', 'b', 'c'])
-    assert again.state.map_version == 7
+    assert restarted.state.map_version == 7
 
 
-async def test_a_newcomer_that_knows_one_follower_only_finds_the_leader(core):
+async def test_an_empty_replica_finds_the_leader_through_a_follower(core):
     peers = await start_core(core)
     follower = next(
         n for n in 'abc' if core.running[n][0] is not core.leader()
     )
-    newcomer = core.start('d', core.address(), contacts=[peers[follower]])
-    await core.until(lambda: newcomer.state.map_version == 7)
-    await core.until(lambda: newcomer.replica.leader_address() != '')
+    replacement = core.start('d', core.address(), contacts=[peers[follower]])
+    await core.until(lambda: replacement.state.map_version == 7)
+    await core.until(lambda: replacement.replica.leader_address() != '')
 
 
-async def test_a_log_founded_by_one_promises_nothing_before_it_has_three(
+async def test_a_new_log_accepts_no_command_before_it_has_three_voters(
     core,
 ):
     # The first replica alone could acknowledge a route map, and lose it with
@@ -85,7 +87,7 @@
     assert (await first.propose(command)).status == 'done'
 
 
-async def test_a_relay_appoints_one_founder_and_leads_others_on(
+async def test_a_relay_selects_one_replica_to_bootstrap_the_log(
     core, monkeypatch
 ):
     # Callers are told of control processes without a disk only. One of them
@@ -97,17 +99,17 @@
     address = str(core.address())
     transport = node.ZmqTransport(address)
     relay = control.Relay(transport, address, [address], appoints=True)
-    look = asyncio.ensure_future(relay.run())
+    relay_task = asyncio.ensure_future(relay.run())
     contact = settings.Address(*_split(address))
     servers = [
         core.start(name, core.address(), contacts=[contact], founds=True)
         for name in 'abc'
     ]
     await core.until(lambda: any(server.bootstrapped for server in servers))
-    founders = [s for s in servers if s.bootstrapped]
-    assert len(founders) == 1
-    name = founders[0].config.name
-    peer = founders[0].config.peer
+    bootstrapped_servers = [s for s in servers if s.bootstrapped]
+    assert len(bootstrapped_servers) == 1
+    name = bootstrapped_servers[0].config.name
+    peer = bootstrapped_servers[0].config.peer
     await core.stop(name)
     core.start(name, peer, contacts=[contact], founds=True)
     await core.until(lambda: core.voters() == ['a', 'b', 'c'])
@@ -115,7 +117,7 @@
     assert (await relay.calls.put_map(put)).version == 7
     assert (await relay.calls.read_map()).source == b'source'
     assert not relay.appoints
-    look.cancel()
+    relay_task.cancel()
     await transport.close()
 
 
@@ -124,7 +126,7 @@
     return host, int(port)
 
 
-async def test_a_relay_that_knows_only_itself_hears_where_control_is(core):
+async def test_a_relay_without_other_contacts_learns_the_leader(core):
     # The seeds were exchanged for three instances without a disk; then all
     # lost power. Relays and entries start with these seeds only, and nobody
     # they can ask knows a replica: nothing would be served ever again.
@@ -137,7 +139,7 @@
         transport, str(address), [str(address)], appoints=False
     )
     fleet = control.FleetRelay(relay, 'dc')
-    look = asyncio.ensure_future(relay.run())
+    relay_task = asyncio.ensure_future(relay.run())
     await core.until(lambda: relay.leader != '')
     assert relay.core == sorted(map(str, peers.values()))
     entry = messages.ListedEntry('e1', 'dc', '127.0.0.1:1', True)
@@ -145,5 +147,5 @@
         messages.Watch(entry, messages.Known(), hold_s=0.0)
     )
     assert reply.leader == relay.leader
-    look.cancel()
+    relay_task.cancel()
     await transport.close()
--- a/tests/test_observing.py
+++ b/tests/test_observing.py
@@ -8,29 +8,29 @@
 from bulrushhold.node import _logs
 
 
-def test_a_log_that_nobody_reads_blocks_nothing():
+def test_a_full_log_pipe_does_not_block_the_caller():
     # The pipe behind standard output is full. Lines wait in a bounded
     # queue, and those beyond it are counted.
     reader, writer = os.pipe()
-    lines = _logs.LineWriter(writer, clock=_ticking(0.01))
-    begun = time.monotonic()
+    line_writer = _logs.LineWriter(writer, clock=_stepping_clock(0.01))
+    started_at = time.monotonic()
     for number in range(20_000):
-        lines.put('x' * 200 + str(number))
-    assert time.monotonic() - begun < 2.0
-    assert lines.queue.qsize() <= _logs.MAX_QUEUED_LINES
-    assert lines.dropped > 0
+        line_writer.put('x' * 200 + str(number))
+    assert time.monotonic() - started_at < 2.0
+    assert line_writer.queue.qsize() <= _logs.MAX_QUEUED_LINES
+    assert line_writer.dropped > 0
     os.close(reader)
 
 
-def test_a_flood_is_bounded_and_what_is_dropped_is_counted():
+def test_log_lines_above_the_rate_limit_are_dropped_and_counted():
     reader, writer = os.pipe()
     now = [0.0]
-    lines = _logs.LineWriter(writer, clock=lambda: now[0])
+    line_writer = _logs.LineWriter(writer, clock=lambda: now[0])
     for _ in range(1000):
-        lines.put('{}')
+        line_writer.put('{}')
     now[0] = 1.0
-    lines.put('{}')
-    lines.close()
+    line_writer.put('{}')
+    line_writer.close()
     os.close(writer)
     read = b''
     while chunk := os.read(reader, 65536):
@@ -44,7 +44,7 @@
     }
 
 
-def test_figures_are_served_as_text():
+def test_metrics_are_served_in_the_prometheus_text_format():
     metrics = node.make_prometheus_metrics('bulrushhold_entry')
     metrics.count('requests.refused.503', 2)
     metrics.time('streams.resumed', 0.2)
@@ -55,7 +55,7 @@
     assert 'bulrushhold_entry_map_version 7.0' in text
 
 
-def _ticking(step):
+def _stepping_clock(step):
     now = [0.0]
 
     def clock():
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 from bulrushhold import errors
 from bulrushhold import settings
 
-GOOD = """{
+VALID = """{
   // An entry on a small instance.
   "name": "e1", "data_centre": "north",
   "http": {"host": "127.0.0.1", "port": 8080},
@@ -17,23 +17,26 @@
   "platform_url": "http://127.0.0.1:9000/list",
 }"""
 
-BAD = [
+INVALID = [
     ('{', 'Unexpected end'),
     ('[]', 'expected an object'),
-    (GOOD.replace('"name": "e1",', ''), 'missing required field `name`'),
-    (GOOD.replace('"e1"', '"E 1"'), "'name' must match"),
-    (GOOD.replace('8080', '"8080"'), 'Expected `int`, got `str` - at `$.http'),
-    (GOOD.replace('8080', '70000'), "'port' must be <="),
-    (GOOD.replace('8080', '8080, "prot": 1'), 'field at `$.http.prot`'),
-    (GOOD.replace('"name"', '"recovry": {}, "name"'), '`$.recovry`'),
+    (VALID.replace('"name": "e1",', ''), 'missing required field `name`'),
+    (VALID.replace('"e1"', '"E 1"'), "'name' must match"),
     (
-        GOOD.replace('"name"', '"recovery": {"policy": "fast"}, "name"'),
+        VALID.replace('8080', '"8080"'),
+        'Expected `int`, got `str` - at `$.http',
+    ),
+    (VALID.replace('8080', '70000'), "'port' must be <="),
+    (VALID.replace('8080', '8080, "prot": 1'), 'field at `$.http.prot`'),
+    (VALID.replace('"name"', '"recovry": {}, "name"'), '`$.recovry`'),
+    (
+        VALID.replace('"name"', '"recovery": {"policy": "fast"}, "name"'),
         "Invalid enum value 'fast' - at `$.recovery.policy`",
     ),
-    (GOOD.replace('http://', 'ftp://'), "'platform_url' must match"),
-    (GOOD.replace('"127.0.0.1", "port": 8081', '"host", "port": 1'), 'host'),
-    (GOOD.replace('"name"', '"name": "e2", "name"'), 'Duplicate key "name"'),
-    (GOOD.replace('[{"host": "127.0.0.1", "port": 7001}]', '[]'), 'control'),
+    (VALID.replace('http://', 'ftp://'), "'platform_url' must match"),
+    (VALID.replace('"127.0.0.1", "port": 8081', '"host", "port": 1'), 'host'),
+    (VALID.replace('"name"', '"name": "e2", "name"'), 'Duplicate key "name"'),
+    (VALID.replace('[{"host": "127.0.0.1", "port": 7001}]', '[]'), 'control'),
 ]
 
 
@@ -44,20 +47,20 @@
 
 
 def test_comments_and_trailing_commas_are_read(tmp_path):
-    config = settings.load(write(tmp_path, GOOD), settings.Entry)
+    config = settings.load(write(tmp_path, VALID), settings.Entry)
     assert config.http == settings.Address('127.0.0.1', 8080)
     assert config.recovery.policy == 'thrifty'
 
 
-@pytest.mark.parametrize(('text', 'reason'), BAD)
-def test_bad_settings_give_file_path_and_reason_on_one_line(
+@pytest.mark.parametrize(('text', 'reason'), INVALID)
+def test_invalid_settings_give_file_and_reason_on_one_line(
     tmp_path, text, reason
 ):
     path = write(tmp_path, text)
-    with pytest.raises(errors.SettingsError) as caught:
+    with pytest.raises(errors.SettingsError) as raised:
         settings.load(path, settings.Entry)
-    assert str(path) in str(caught.value)
-    assert reason in str(caught.value)
+    assert str(path) in str(raised.value)
+    assert reason in str(raised.value)
     result = click_testing.CliRunner().invoke(
         cli.main, ['settings', 'check', str(path)]
     )
@@ -71,7 +74,7 @@
 
 
 @pytest.mark.parametrize('count', [2, 4])
-def test_control_wants_an_odd_number_of_replicas(tmp_path, count):
+def test_control_requires_an_odd_number_of_replicas(tmp_path, count):
     replicas = ', '.join(
         f'"c{n}": {{"host": "127.0.0.1", "port": {7000 + n}}}'
         for n in range(count)
@@ -85,6 +88,6 @@
         settings.load(write(tmp_path, text), settings.Control)
 
 
-def test_a_short_operator_key_is_refused(tmp_path):
+def test_a_short_operator_key_is_rejected(tmp_path):
     with pytest.raises(errors.SettingsError, match='16 characters'):
         settings.read_key(str(write(tmp_path, 'short')))
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -32,18 +32,18 @@
     log.close()
 
 
-def reopen(store):
+def reload(store):
     store.close()
-    again = node.FileLog(store.folder)
-    durable = again.load(FOUNDING)
-    again.close()
+    reopened = node.FileLog(store.folder)
+    durable = reopened.load(FOUNDING)
+    reopened.close()
     return durable
 
 
-def test_what_was_saved_is_read_again(store):
+def test_saved_records_are_loaded(store):
     store.save(1, 'c1', entries(1, 3))
     store.save(2, 'c2', [])
-    durable = reopen(store)
+    durable = reload(store)
     assert (durable.term, durable.vote) == (2, 'c2')
     assert durable.entries == entries(1, 3)
 
@@ -51,25 +51,25 @@
 def test_an_entry_replaces_all_from_its_index_on(store):
     store.save(1, '', entries(1, 5))
     store.save(2, '', entries(3, 3, term=2))
-    assert reopen(store).entries == entries(1, 2) + entries(3, 3, term=2)
+    assert reload(store).entries == entries(1, 2) + entries(3, 3, term=2)
 
 
 @pytest.mark.parametrize('lost', [1, 5, 20])
-def test_a_torn_last_write_is_cut(store, lost):
+def test_an_incomplete_last_record_is_truncated(store, lost):
     # The process died within its last write, which it had told nobody of.
     store.save(1, '', entries(1, 1))
     store.save(1, '', entries(2, 2))
     size = store.log_path.stat().st_size
     os.truncate(store.log_path, size - lost)
-    assert reopen(store).entries == entries(1, 1)
-    again = node.FileLog(store.folder)
-    again.load(FOUNDING)
-    again.save(1, '', entries(2, 2))
-    again.close()
-    assert reopen(store).entries == entries(1, 2)
+    assert reload(store).entries == entries(1, 1)
+    reopened = node.FileLog(store.folder)
+    reopened.load(FOUNDING)
+    reopened.save(1, '', entries(2, 2))
+    reopened.close()
+    assert reload(store).entries == entries(1, 2)
 
 
-def test_damage_before_the_tail_stops_the_start(store):
+def test_a_damaged_record_before_the_last_fails_the_load(store):
     # A bit flips in a record whose write was acknowledged. Cutting it off
     # would take committed entries back; the operator gets file and offset.
     store.save(1, '', entries(1, 1))
@@ -79,24 +79,24 @@
     with store.log_path.open('r+b') as file:
         file.seek(offset + 12)
         file.write(b'\xff')
-    with pytest.raises(errors.StorageError) as caught:
-        reopen(store)
-    assert f'offset {offset}' in caught.value.reason
-    assert caught.value.peer == str(store.log_path)
+    with pytest.raises(errors.StorageError) as raised:
+        reload(store)
+    assert f'offset {offset}' in raised.value.reason
+    assert raised.value.peer == str(store.log_path)
 
 
 @pytest.mark.parametrize('name', ['identity', 'snapshot'])
-def test_a_damaged_whole_file_stops_the_start(store, name):
+def test_a_damaged_identity_or_snapshot_fails_the_load(store, name):
     state = messages.InstallSnapshot(1, '', 2, 1, FOUNDING, b'state', 0)
     store.save_snapshot(state, [])
     path = store.folder / name
     path.write_bytes(path.read_bytes()[:-1] + b'\x00')
     with pytest.raises(errors.StorageError, match=name):
         store.identity()
-        reopen(store)
+        reload(store)
 
 
-def test_a_log_without_its_identity_stops_the_start(store):
+def test_a_log_without_an_identity_fails_the_load(store):
     store.save(1, '', entries(1, 1))
     store.identity_path.unlink()
     with pytest.raises(errors.StorageError, match='identity is missing'):
@@ -111,15 +111,15 @@
     state = messages.InstallSnapshot(3, '', 3, 1, FOUNDING, b'state', 0)
     store.save_snapshot(state, entries(4, 5))
     store.log_path.write_bytes(old_log)
-    durable = reopen(store)
+    durable = reload(store)
     assert durable.snapshot.index == 3
     assert durable.entries == entries(4, 5)
     assert (durable.term, durable.vote) == (3, 'c1')
 
 
-def test_a_failed_sync_is_the_end_of_the_process(store, monkeypatch):
+def test_a_failed_sync_raises_a_storage_error(store, monkeypatch):
     # After a failed sync a second one may succeed without the lost pages.
-    def fail(handle):
+    def fail(descriptor):
         raise OSError(5, 'Input/output error')
 
     monkeypatch.setattr(os, 'fdatasync', fail)
@@ -127,7 +127,7 @@
         store.save(1, '', entries(1, 1))
 
 
-def test_a_folder_in_use_is_not_founded_again(store):
+def test_a_folder_in_use_is_not_bootstrapped_again(store):
     address = settings.Address('127.0.0.1', 1)
     config = settings.Control(
         'c1', 'north', address, str(store.folder), {'c1': address}
@@ -136,7 +136,7 @@
         control.found(config, store)
 
 
-def test_an_empty_folder_never_founds_a_log(tmp_path):
+def test_an_empty_folder_gets_a_new_identity(tmp_path):
     # A lost disk that took its old name again could vote twice in a term.
     address = settings.Address('127.0.0.1', 1)
     config = settings.Control(
@@ -150,7 +150,7 @@
     assert durable.founding == messages.Config()
 
 
-async def test_a_full_disk_ends_control_with_its_reason(make_system):
+async def test_a_full_disk_stops_the_control_process(make_system):
     # The disk fills up: the process ends, naming the file, instead of
     # answering as if the edit had been stored.
     system = await make_system()
@@ -166,7 +166,7 @@
     assert isinstance(system.control_task.exception(), errors.StorageError)
 
 
-async def test_all_is_there_after_500_edits_and_a_restart(make_system):
+async def test_the_table_survives_a_restart_after_500_edits(make_system):
     system = await make_system()
     entry = system.entries['e1']
     rows = list(system.control.state.table.rows())
@@ -177,21 +177,21 @@
         assert outcome.accepted, outcome
     before = system.control.state.table
     await system.restart_control()
-    await until_leader(system)
+    await wait_for_leader(system)
     after = system.control.state.table
     assert after.revision == before.revision == 501
     assert after.rows() == before.rows()
     assert after.outcomes == before.outcomes
 
 
-async def until_leader(system):
+async def wait_for_leader(system):
     await conftest.until(
         lambda: system.control.replica.commits_in_term
         and system.control.replica.applied == system.control.replica.commit
     )
 
 
-async def test_control_stops_though_work_arrives_with_the_cancellation(
+async def test_control_stops_if_a_message_arrives_with_the_cancellation(
     system,
 ):
     # The operator stops control. In the same turn of the loop a message
@@ -203,9 +203,7 @@
     assert system.control_task.cancelled()
 
 
-def test_a_full_disk_is_one_error_and_nothing_half_written_remains(
-    tmp_path, monkeypatch
-):
+def test_a_partial_write_on_a_full_disk_is_discarded(tmp_path, monkeypatch):
     # The disk takes half a record and then no more. The replica begins anew
     # from what is there; closing the file must not write the rest again and
     # end the process with an error of its own.
@@ -213,22 +211,22 @@
     store.write_identity(node.Identity('a.founder'))
     store.load(messages.Config())
     store.save(1, 'a', [messages.LogEntry(1, 1, 1, b'kept')])
-    real = os.write
+    real_write = os.write
 
-    def half(descriptor, data):
+    def write_half(descriptor, data):
         if len(data) < 20:
             raise OSError(28, 'No space left on device')
-        return real(descriptor, data[: len(data) // 2])
+        return real_write(descriptor, data[: len(data) // 2])
 
-    monkeypatch.setattr(os, 'write', half)
+    monkeypatch.setattr(os, 'write', write_half)
     with pytest.raises(errors.StorageError):
         store.save(1, 'a', [messages.LogEntry(2, 1, 1, bytes(50))])
     store.close()
-    monkeypatch.setattr(os, 'write', real)
-    again = node.FileLog(tmp_path)
-    durable = again.load(messages.Config())
+    monkeypatch.setattr(os, 'write', real_write)
+    reopened = node.FileLog(tmp_path)
+    durable = reopened.load(messages.Config())
     assert [entry.data for entry in durable.entries] == [b'kept']
-    again.save(1, 'a', [messages.LogEntry(2, 1, 1, b'next')])
-    again.close()
+    reopened.save(1, 'a', [messages.LogEntry(2, 1, 1, b'next')])
+    reopened.close()
     entries = node.FileLog(tmp_path).load(messages.Config()).entries
     assert [entry.data for entry in entries] == [b'kept', b'next']
--- a/tests/test_zmqtransport.py
+++ b/tests/test_zmqtransport.py
@@ -13,7 +13,7 @@
 
 
 @pytest_asyncio.fixture
-async def pair():
+async def connected_pair():
     addresses = [f'127.0.0.1:{port}' for port in testing.free_ports(2)]
     transports = [node.ZmqTransport(address) for address in addresses]
     yield transports, addresses
@@ -21,27 +21,27 @@
         await transport.close()
 
 
-async def test_every_message_of_a_burst_arrives_in_order(pair):
+async def test_every_message_of_a_burst_arrives_in_order(connected_pair):
     """Guards against messages that wait unread until the next one comes."""
-    (one, other), (_, address) = pair
-    seen = []
+    (one, other), (_, address) = connected_pair
+    received = []
 
-    async def take(read):
-        seen.append(read.limit)
+    async def on_message(read):
+        received.append(read.limit)
 
-    other.handle(messages.HistoryRead, take)
+    other.handle(messages.HistoryRead, on_message)
     for number in range(2000):
         one.send(address, messages.HistoryRead(number))
         if number % 100 == 0:
             await asyncio.sleep(0)
     async with asyncio.timeout(5):
-        while len(seen) < 2000:
+        while len(received) < 2000:
             await asyncio.sleep(0.01)
-    assert seen == list(range(2000))
+    assert received == list(range(2000))
 
 
-async def test_requests_in_both_directions_are_all_answered(pair):
-    (one, other), (first, second) = pair
+async def test_requests_in_both_directions_are_all_answered(connected_pair):
+    (one, other), (first, second) = connected_pair
 
     async def answer(read):
         await asyncio.sleep(0)
@@ -50,35 +50,35 @@
     for transport in (one, other):
         transport.handle(messages.HistoryRead, answer)
 
-    async def ask(transport, address, number):
-        with pytest.raises(errors.PeerError) as caught:
+    async def request_error(transport, address, number):
+        with pytest.raises(errors.PeerError) as raised:
             await transport.request(address, messages.HistoryRead(number), 5.0)
-        assert caught.value.reason == str(number)
+        assert raised.value.reason == str(number)
 
     await asyncio.gather(
-        *(ask(one, second, number) for number in range(200)),
-        *(ask(other, first, number) for number in range(200)),
+        *(request_error(one, second, number) for number in range(200)),
+        *(request_error(other, first, number) for number in range(200)),
     )
 
 
-async def test_a_stranger_that_sends_other_frames_stops_nothing(pair):
+async def test_messages_with_a_wrong_frame_count_are_ignored(connected_pair):
     """Guards against one malformed message that ends all reading."""
-    (one, other), (_, address) = pair
-    stranger = zmq.Context.instance().socket(zmq.DEALER)
-    stranger.connect(f'tcp://{address}')
-    stranger.send_multipart([b'a', b'b', b'c', b'd'])
-    stranger.send_multipart([b'a'])
+    (one, other), (_, address) = connected_pair
+    foreign_socket = zmq.Context.instance().socket(zmq.DEALER)
+    foreign_socket.connect(f'tcp://{address}')
+    foreign_socket.send_multipart([b'a', b'b', b'c', b'd'])
+    foreign_socket.send_multipart([b'a'])
     await asyncio.sleep(0.1)
     arrived = asyncio.Event()
 
-    async def take(read):
+    async def on_message(read):
         arrived.set()
 
-    other.handle(messages.HistoryRead, take)
+    other.handle(messages.HistoryRead, on_message)
     one.send(address, messages.HistoryRead(1))
     async with asyncio.timeout(2):
         await arrived.wait()
-    stranger.close(linger=0)
+    foreign_socket.close(linger=0)
 
 
 async def test_a_transport_can_be_closed_twice():
@@ -100,9 +100,9 @@
     server.close()
 
 
-async def test_an_address_is_free_once_its_transport_is_closed(pair):
+async def test_an_address_is_free_once_its_transport_is_closed(connected_pair):
     """Guards against a process that can't begin anew at its own address."""
-    (one, _), _ = pair
+    (one, _), _ = connected_pair
     address = f'127.0.0.1:{testing.free_ports(1)[0]}'
     for _ in range(100):
         transport = node.ZmqTransport(address)
