--- a/tests/test_fleet_control.py
+++ b/tests/test_fleet_control.py
@@ -1,4 +1,4 @@
-"""Entries of several data centres, their control processes and the leader."""
+"""Entries, relays and replicas in several data centres."""
 
 import asyncio
 import random
@@ -109,7 +109,7 @@
             await self.stop(name)
 
     async def wait_for_running(self, count):
-        """Wait until entry b sees so many streams of entry a."""
+        """Wait until entry b counts this many streams of entry a."""
         backend = self.entries['b'].placement.backends['i1']
         await self.core.until(lambda: backend.others.running == count)
 
@@ -138,7 +138,7 @@
 
 
 async def test_load_is_shared_without_a_leader(fleet):
-    """Guards against entries that are blind while a leader is replaced."""
+    """Load reports must not depend on the leader."""
     leader = fleet.core.leader().config.name
     await fleet.stop(leader)
     await fleet.core.stop(leader)
@@ -150,7 +150,7 @@
 
 
 async def test_entries_fail_over_from_a_stopped_relay(fleet):
-    """Guards against a data centre that is blind without its relay."""
+    """A data centre must not lose load reports or maps with its relay."""
     await fleet.stop('relay-a')
     entry = fleet.entries['a']
     entry.placement.failed('i3', time.monotonic(), gone=True)
@@ -171,7 +171,7 @@
 
 
 async def test_a_stopped_entry_is_no_longer_counted(fleet):
-    """Guards against loads that count twice after entries have moved."""
+    """The load of an entry that has left must not be counted further."""
     placement = fleet.entries['a'].placement
     placement.began(placement.backends['i1'], 8000)
     await fleet.wait_for_running(1)
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -1,4 +1,4 @@
-"""Control processes that know each other from a few addresses only."""
+"""Replicas that join, rejoin or bootstrap the replicated log."""
 
 import asyncio
 
@@ -20,10 +20,9 @@
 
 
 async def test_an_empty_replica_at_a_new_address_becomes_a_voter(core):
-    # A core machine is gone for good. An empty one comes elsewhere, and
-    # knows the others only from a list that still names the lost one. If it
-    # can't answer the leader, it never catches up, and the next lost disk
-    # takes the last copy but one of what was acknowledged.
+    # The new replica only has a stale list of contacts. If it could not
+    # reply to the leader, it would never catch up, and the next lost disk
+    # would leave a single copy of the log.
     peers = await start_core(core)
     stopped = next(n for n in 'abc' if core.running[n][0] is not core.leader())
     await core.stop(stopped)
@@ -74,8 +73,8 @@
 async def test_a_new_log_accepts_no_command_before_it_has_three_voters(
     core,
 ):
-    # The first replica alone could acknowledge a route map, and lose it with
-    # its disk before the others hold it.
+    # A command acknowledged by the first replica alone would be lost with
+    # its disk.
     peers = {name: core.address() for name in 'abc'}
     first = core.start('a', peers['a'], {'a': peers['a']}, founds=True)
     await core.until(lambda: core.leader() is first)
@@ -90,8 +89,8 @@
 async def test_a_relay_selects_one_replica_to_bootstrap_the_log(
     core, monkeypatch
 ):
-    # Callers are told of control processes without a disk only. One of them
-    # says which replica founds the log; the others find it through that.
+    # All contacts are relays. The replicas must agree on a single log, and
+    # find each other through the relay.
     monkeypatch.setattr('bulrushhold.control._relay.BOOTSTRAP_DELAY_S', 0.1)
     monkeypatch.setattr(
         'bulrushhold.control._relay.LEADER_CHECK_INTERVAL_S', 0.05
@@ -127,9 +126,8 @@
 
 
 async def test_a_relay_without_other_contacts_learns_the_leader(core):
-    # The seeds were exchanged for three instances without a disk; then all
-    # lost power. Relays and entries start with these seeds only, and nobody
-    # they can ask knows a replica: nothing would be served ever again.
+    # After a full restart all configured addresses may be relays, which
+    # store nothing: the replicas have to contact them.
     address = core.address()
     peers = {name: core.address() for name in 'abc'}
     for name, peer in peers.items():
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: comments are read, and every fault has its clear error."""
+"""Settings files: accepted syntax and error messages."""
 
 from click import testing as click_testing
 import pytest
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The data folder: what is synced lasts, and what can't be trusted stops."""
+"""The data folder: durability, and detection of damaged files."""
 
 import asyncio
 import os
@@ -56,7 +56,7 @@
 
 @pytest.mark.parametrize('lost', [1, 5, 20])
 def test_an_incomplete_last_record_is_truncated(store, lost):
-    # The process died within its last write, which it had told nobody of.
+    # The process died during a write that was not acknowledged.
     store.save(1, '', entries(1, 1))
     store.save(1, '', entries(2, 2))
     size = store.log_path.stat().st_size
@@ -70,8 +70,8 @@
 
 
 def test_a_damaged_record_before_the_last_fails_the_load(store):
-    # A bit flips in a record whose write was acknowledged. Cutting it off
-    # would take committed entries back; the operator gets file and offset.
+    # The damaged record was acknowledged: truncating the log before it would
+    # lose committed entries.
     store.save(1, '', entries(1, 1))
     offset = store.log_path.stat().st_size
     store.save(1, '', entries(2, 2))
@@ -104,8 +104,8 @@
 
 
 def test_a_crash_between_snapshot_and_log_loses_nothing(store):
-    # The snapshot was renamed into place, the log not yet begun anew: its
-    # entries up to the snapshot are passed over, the later ones count.
+    # The snapshot is in place but the log not yet replaced: entries that the
+    # snapshot covers must be skipped, later ones loaded.
     store.save(3, 'c1', entries(1, 5))
     old_log = store.log_path.read_bytes()
     state = messages.InstallSnapshot(3, '', 3, 1, FOUNDING, b'state', 0)
@@ -118,7 +118,7 @@
 
 
 def test_a_failed_sync_raises_a_storage_error(store, monkeypatch):
-    # After a failed sync a second one may succeed without the lost pages.
+    # A retried sync may succeed although the kernel dropped the pages.
     def fail(descriptor):
         raise OSError(5, 'Input/output error')
 
@@ -137,7 +137,8 @@
 
 
 def test_an_empty_folder_gets_a_new_identity(tmp_path):
-    # A lost disk that took its old name again could vote twice in a term.
+    # A replica that lost its disk and kept its identity could vote twice in
+    # a term.
     address = settings.Address('127.0.0.1', 1)
     config = settings.Control(
         'c1', 'north', address, str(tmp_path), {'c1': address}
@@ -151,8 +152,7 @@
 
 
 async def test_a_full_disk_stops_the_control_process(make_system):
-    # The disk fills up: the process ends, naming the file, instead of
-    # answering as if the edit had been stored.
+    # A command that was not stored must not be acknowledged.
     system = await make_system()
 
     def fail(*args):
@@ -194,9 +194,8 @@
 async def test_control_stops_if_a_message_arrives_with_the_cancellation(
     system,
 ):
-    # The operator stops control. In the same turn of the loop a message
-    # arrives; asyncio.wait_for of Python 3.11 then returns and forgets the
-    # cancellation, and the process would never end.
+    # asyncio.wait_for of Python 3.11 may swallow a cancellation that arrives
+    # together with the result; the process would never stop.
     system.control.work.set()
     system.control_task.cancel()
     await asyncio.wait([system.control_task], timeout=2.0)
@@ -204,9 +203,8 @@
 
 
 def test_a_partial_write_on_a_full_disk_is_discarded(tmp_path, monkeypatch):
-    # The disk takes half a record and then no more. The replica begins anew
-    # from what is there; closing the file must not write the rest again and
-    # end the process with an error of its own.
+    # Half a record fits on the disk. Closing the file must not retry the
+    # rest and raise a second error, and the half record must be truncated.
     store = node.FileLog(tmp_path)
     store.write_identity(node.Identity('a.founder'))
     store.load(messages.Config())
--- a/tests/test_zmqtransport.py
+++ b/tests/test_zmqtransport.py
@@ -22,7 +22,7 @@
 
 
 async def test_every_message_of_a_burst_arrives_in_order(connected_pair):
-    """Guards against messages that wait unread until the next one comes."""
+    """No message may stay unread until the next one arrives."""
     (one, other), (_, address) = connected_pair
     received = []
 
@@ -62,7 +62,7 @@
 
 
 async def test_messages_with_a_wrong_frame_count_are_ignored(connected_pair):
-    """Guards against one malformed message that ends all reading."""
+    """A malformed message must not stop the socket's reader."""
     (one, other), (_, address) = connected_pair
     foreign_socket = zmq.Context.instance().socket(zmq.DEALER)
     foreign_socket.connect(f'tcp://{address}')
@@ -82,7 +82,7 @@
 
 
 async def test_a_transport_can_be_closed_twice():
-    """Guards against taking a reader from whoever has the number now."""
+    """The second close must not remove the reader of a reused descriptor."""
     address = f'127.0.0.1:{testing.free_ports(1)[0]}'
     transport = node.ZmqTransport(address)
     await transport.close()
@@ -101,7 +101,7 @@
 
 
 async def test_an_address_is_free_once_its_transport_is_closed(connected_pair):
-    """Guards against a process that can't begin anew at its own address."""
+    """A process must be able to restart at once at its own address."""
     (one, _), _ = connected_pair
     address = f'127.0.0.1:{testing.free_ports(1)[0]}'
     for _ in range(100):
