--- a/src/bulrushhold/composition/_entry.py
+++ b/src/bulrushhold/composition/_entry.py
@@ -83,7 +83,7 @@
         quarantine = entry.SharedQuarantine(
             self.control,
             self.table,
-            lambda own: self.streams.refuse_quarantined(own),
+            lambda fingerprints: self.streams.refuse_quarantined(fingerprints),
             self.spawn,
             config.table_poll_s,
         )
--- a/src/bulrushhold/composition/_forwarding.py
+++ b/src/bulrushhold/composition/_forwarding.py
@@ -96,7 +96,7 @@
             admission,
         )
         self.metrics = node.make_prometheus_metrics('bulrushhold_entry')
-        parts = forwarding.Parts(
+        components = forwarding.Parts(
             placement,
             self.client,
             budget,
@@ -104,7 +104,7 @@
             crashers,
             admission,
         )
-        self.forwarder = forwarding.Forwarder(self.fleet, parts)
+        self.forwarder = forwarding.Forwarder(self.fleet, components)
         self.ingress = adapters.Ingress(
             self.forwarder.handle, self.adapters.caller_dialect
         )
--- a/src/bulrushhold/node/_zmqtransport.py
+++ b/src/bulrushhold/node/_zmqtransport.py
@@ -14,7 +14,7 @@
 from bulrushhold import messages
 from bulrushhold import ports
 
-HIGH_WATER_MARK: t.Final = 4096
+MAX_QUEUED_MESSAGES: t.Final = 4096
 MAX_MESSAGE_BYTES: t.Final = 256 << 20
 # Shorter than an election, so that a reconnect doesn't cause one.
 HEARTBEAT_INTERVAL_MS: t.Final = 300
@@ -236,8 +236,8 @@
 
 def _configure(zmq_socket: t.Any) -> None:
     zmq_socket.setsockopt(zmq.LINGER, 0)
-    zmq_socket.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
-    zmq_socket.setsockopt(zmq.RCVHWM, HIGH_WATER_MARK)
+    zmq_socket.setsockopt(zmq.SNDHWM, MAX_QUEUED_MESSAGES)
+    zmq_socket.setsockopt(zmq.RCVHWM, MAX_QUEUED_MESSAGES)
     zmq_socket.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
     zmq_socket.setsockopt(zmq.RECONNECT_IVL, 50)
     zmq_socket.setsockopt(zmq.RECONNECT_IVL_MAX, 250)
