--- a/src/bulrushhold/settings.py
+++ b/src/bulrushhold/settings.py
@@ -135,9 +135,9 @@
         if len(self.replicas) not in (1, 3, 5, 7):
             raise ValueError('`replicas` must hold 1, 3, 5 or 7 instances')
         if self.replicas.get(self.name) != self.peer:
-            raise ValueError('`replicas` must hold this name and `peer`')
+            raise ValueError('`replicas` must map `name` to `peer`')
         if self.heartbeat_s * 3 > self.election_s:
-            raise ValueError('`election_s` must be 3 `heartbeat_s` or more')
+            raise ValueError('`election_s` must be at least 3 `heartbeat_s`')
 
 
 @attrs.frozen
@@ -212,7 +212,7 @@
         ) from error
     if len(key) < 16:
         raise errors.SettingsError(
-            'the key needs 16 characters or more', 'operator key', path
+            'the key must have at least 16 characters', 'operator key', path
         )
     return key
 
