--- a/src/bulrushhold/composition/_control.py
+++ b/src/bulrushhold/composition/_control.py
@@ -1,4 +1,4 @@
-"""Wires and runs a control process."""
+"""Builds and runs a control process with a replica."""
 
 import abc
 import asyncio
@@ -15,52 +15,54 @@
 if t.TYPE_CHECKING:
     from bulrushhold import control
 
-DISK_RETRY_S: t.Final = 0.5
+DISK_RETRY_DELAY_S: t.Final = 0.5
 
 
 async def run_control(
     config: settings.Control,
-    attach: t.Callable[['control.ControlServer'], 'Attachment'] | None = None,
+    make_attachment: t.Callable[['control.ControlServer'], 'Attachment']
+    | None = None,
 ) -> None:
-    """Run a control process until it is told to stop.
+    """Run a control process until a signal stops it.
 
-    :param attach: adds what serves beside the replica, such as the
-        operators' port.
-    :raises StorageError: where its data folder can't be trusted.
+    :param make_attachment: returns services to run beside the replica, such
+        as the operators' HTTP port. The process then survives disk errors.
+    :raises StorageError: if the data folder can't be read or written, and
+        there is no attachment.
     """
     stop = asyncio.Event()
-    _background.on_signals(stop.set)
+    _background.handle_stop_signals(stop.set)
     while not stop.is_set():
         try:
-            await _serve_control(config, attach, stop)
+            await _serve_control(config, make_attachment, stop)
         except errors.StorageError as error:
-            if attach is None:
+            if make_attachment is None:
                 raise
-            # The disk is full or refuses to sync. What was written isn't
-            # sure to be there, so that the replica begins anew from what
-            # the disk gives back; leaving the process would do the same,
-            # but count as a crash of its own.
-            loguru.logger.bind(error=str(error)).error('disk failed')
+            # The disk is full or a sync failed. What the last write left on
+            # disk is unknown, so reload the replica from the data folder.
+            # Exiting instead would be counted as a crash.
+            loguru.logger.bind(error=str(error)).error('storage failed')
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(DISK_RETRY_S):
+                async with asyncio.timeout(DISK_RETRY_DELAY_S):
                     await stop.wait()
 
 
 class Attachment(abc.ABC):
-    """What runs beside the replica in a control process."""
+    """Additional services that run beside the replica of a process."""
 
     @abc.abstractmethod
     async def start(self) -> None:
-        """Open ports and begin background work."""
+        """Open ports and start background tasks."""
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Close ports and end background work."""
+        """Close ports and stop background tasks."""
 
 
 async def _serve_control(
     config: settings.Control,
-    attach: t.Callable[['control.ControlServer'], 'Attachment'] | None,
+    make_attachment: t.Callable[['control.ControlServer'], 'Attachment']
+    | None,
     stop: asyncio.Event,
 ) -> None:
     from bulrushhold import control
@@ -88,23 +90,24 @@
         metrics,
         node.boot_time,
     )
-    attachment = attach(server) if attach else None
+    attachment = make_attachment(server) if make_attachment else None
     if attachment is not None:
         await attachment.start()
-    serving = asyncio.ensure_future(server.run())
-    stopping = asyncio.ensure_future(stop.wait())
+    server_task = asyncio.ensure_future(server.run())
+    stop_task = asyncio.ensure_future(stop.wait())
     loguru.logger.bind(replica=ident).info('control started')
     try:
         await asyncio.wait(
-            (serving, stopping), return_when=asyncio.FIRST_COMPLETED
+            (server_task, stop_task), return_when=asyncio.FIRST_COMPLETED
         )
-        if serving.done():
-            # With no error it has founded the log, and begins anew with it.
-            serving.result()
+        if server_task.done():
+            # Raises its error. Without one the replica has bootstrapped the
+            # log and is restarted with it by the caller.
+            server_task.result()
     finally:
-        serving.cancel()
-        stopping.cancel()
-        await asyncio.gather(serving, stopping, return_exceptions=True)
+        server_task.cancel()
+        stop_task.cancel()
+        await asyncio.gather(server_task, stop_task, return_exceptions=True)
         if attachment is not None:
             await attachment.close()
         await transport.close()
--- a/src/bulrushhold/composition/_entry.py
+++ b/src/bulrushhold/composition/_entry.py
@@ -1,4 +1,4 @@
-"""Wires and runs an entry with the product's own interface."""
+"""Builds and runs an entry with the product's own HTTP interface."""
 
 import asyncio
 import random
@@ -13,11 +13,11 @@
 if t.TYPE_CHECKING:
     from bulrushhold import decisions
 
-DRAIN_CHECK_S: t.Final = 0.1
+DRAIN_CHECK_INTERVAL_S: t.Final = 0.1
 
 
 class EntryProcess:
-    """An entry with all its parts, as :func:`run_entry` runs it."""
+    """An entry with all its components, as run by :func:`run_entry`."""
 
     def __init__(self, config: settings.Entry) -> None:
         from bulrushhold import decisions
@@ -45,7 +45,7 @@
         self.background: set[asyncio.Task[t.Any]] = set()
 
     async def start(self) -> None:
-        """Open the sockets, and serve."""
+        """Open the sockets and start serving."""
         import aiohttp
         from aiohttp import web
 
@@ -53,8 +53,8 @@
         from bulrushhold import web as adapters
 
         config = self.config
-        # No limit: the default of 100 connections would hold back the
-        # hundred-and-first stream, as if an engine were slow.
+        # No limit: the default of 100 connections would delay further
+        # streams.
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
             auto_decompress=False,
@@ -83,7 +83,7 @@
         quarantine = entry.SharedQuarantine(
             self.control,
             self.table,
-            lambda own: self.streams.refuse_quarantined(own),
+            lambda fingerprints: self.streams.refuse_quarantined(fingerprints),
             self.spawn,
             config.table_poll_s,
         )
@@ -91,7 +91,7 @@
             config.recovery,
             self.router,
             adapters.HttpEngineClient(self.session),
-            _policy(config.recovery),
+            _make_policy(config.recovery),
             self.copies,
             self.admission,
             quarantine,
@@ -127,15 +127,15 @@
         self.spawn(self.table.run())
         self.spawn(self.view.run())
         self.spawn(self.prober.run())
-        self.spawn(self._follow_peers())
+        self.spawn(self._update_peers())
         self.spawn(self.streams.sweep())
         self.spawn(self.admission.sweep())
         self.runner = web.AppRunner(
             self.server.application(),
             access_log=None,
             shutdown_timeout=5.0,
-            # Else a caller that leaves before the first token would hold
-            # its stream until an engine sends one.
+            # Cancels the stream of a caller that disconnects before the
+            # first token.
             handler_cancellation=True,
         )
         await self.runner.setup()
@@ -144,16 +144,16 @@
         loguru.logger.bind(http=str(config.http)).info('entry started')
 
     async def drain(self) -> None:
-        """Take nothing new, and wait for what is in progress."""
+        """Refuse new requests and wait for running ones to finish."""
         self.server.draining = True
         self.prober.leave()
         loguru.logger.info('draining')
-        end = time.monotonic() + self.config.drain_deadline_s
-        while self.server.busy and time.monotonic() < end:
-            await asyncio.sleep(DRAIN_CHECK_S)
+        deadline = time.monotonic() + self.config.drain_deadline_s
+        while self.server.busy and time.monotonic() < deadline:
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     async def close(self) -> None:
-        """Stop all parts."""
+        """Stop all tasks and close all sockets."""
         for task in list(self.background):
             task.cancel()
         await asyncio.gather(*self.background, return_exceptions=True)
@@ -162,48 +162,50 @@
         await self.session.close()
         await self.transport.close()
 
-    def spawn(self, work: t.Coroutine[t.Any, t.Any, t.Any]) -> None:
-        """Run work in the background until the process closes."""
-        task = asyncio.get_running_loop().create_task(work)
+    def spawn(self, coroutine: t.Coroutine[t.Any, t.Any, t.Any]) -> None:
+        """Start a background task that :meth:`close` cancels."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.background.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[t.Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[t.Any]) -> None:
         self.background.discard(task)
-        _background.log_end(task)
+        _background.log_failure(task)
 
-    async def _follow_peers(self) -> None:
-        known: set[str] = set()
+    async def _update_peers(self) -> None:
+        known_names: set[str] = set()
         while True:
             self.copies.set_peers(self.view.copy_peers())
             self.admission.set_capacity(self.view.engine_slots())
             names = {instance.name for instance in self.view.entries}
-            if names != known:
-                known = names
+            if names != known_names:
+                known_names = names
                 self.store.homes_changed(time.monotonic())
             await self.view.changed.wait()
             self.view.changed.clear()
 
 
 async def run_entry(config: settings.Entry) -> None:
-    """Run an entry until it is told to stop, then drain it.
+    """Run an entry until a signal stops it, then drain it.
 
-    A second signal stops it without waiting for its streams.
+    A second signal ends the drain at once.
     """
     process = EntryProcess(config)
     signals = asyncio.Queue[None]()
-    _background.on_signals(lambda: signals.put_nowait(None))
+    _background.handle_stop_signals(lambda: signals.put_nowait(None))
     await process.start()
     await signals.get()
-    drained = asyncio.ensure_future(process.drain())
-    again = asyncio.ensure_future(signals.get())
-    await asyncio.wait((drained, again), return_when=asyncio.FIRST_COMPLETED)
-    drained.cancel()
-    again.cancel()
+    drain_task = asyncio.ensure_future(process.drain())
+    second_signal = asyncio.ensure_future(signals.get())
+    await asyncio.wait(
+        (drain_task, second_signal), return_when=asyncio.FIRST_COMPLETED
+    )
+    drain_task.cancel()
+    second_signal.cancel()
     await process.close()
 
 
-def _policy(config: settings.Recovery) -> 'decisions.RecoveryPolicy':
+def _make_policy(config: settings.Recovery) -> 'decisions.RecoveryPolicy':
     from bulrushhold import decisions
 
     policies: dict[str, type[decisions.RecoveryPolicy]] = {
--- a/src/bulrushhold/composition/_forwarding.py
+++ b/src/bulrushhold/composition/_forwarding.py
@@ -1,4 +1,4 @@
-"""Wires and runs an entry that forwards opaque requests."""
+"""Builds and runs an entry that forwards opaque requests."""
 
 import asyncio
 import random
@@ -19,27 +19,30 @@
     from bulrushhold import forwarding
     from bulrushhold import ports
 
-DRAIN_CHECK_S: t.Final = 0.1
-# Ports that answer at once need no time to close.
-CLOSE_S: t.Final = 0.2
-# Left of the time before the kill, for closing and for a busy machine.
+DRAIN_CHECK_INTERVAL_S: t.Final = 0.1
+# Short, as the auxiliary ports have no long requests.
+SHUTDOWN_TIMEOUT_S: t.Final = 0.2
+# Reserved for closing before the process is killed.
 EXIT_MARGIN_S: t.Final = 0.7
-# A request taken later than this before the end would be cut off.
-LAST_TAKEN_S: t.Final = 2.0
+# Requests accepted later than this before the exit would be cut off.
+REFUSE_BEFORE_EXIT_S: t.Final = 2.0
 
 
 @attrs.frozen
 class ForwardingAdapters:
-    """What a forwarding entry is given from outside.
+    """Platform-specific components of a forwarding entry.
 
-    :param backends: makes the reader of the platform's list.
-    :param sites: further ports, with what each answers.
+    :param make_backend_list: returns the reader of the platform's list.
+    :param listeners: further ports, each with a factory for the application
+        that it serves.
     """
 
-    callers: 'calls.CallerDialect'
-    engines: 'calls.EngineDialect'
-    backends: t.Callable[['aiohttp.ClientSession'], 'ports.BackendList']
-    sites: list[
+    caller_dialect: 'calls.CallerDialect'
+    engine_dialect: 'calls.EngineDialect'
+    make_backend_list: t.Callable[
+        ['aiohttp.ClientSession'], 'ports.BackendList'
+    ]
+    listeners: list[
         tuple[
             settings.Address,
             t.Callable[['forwarding.Fleet'], 'web.Application'],
@@ -48,7 +51,7 @@
 
 
 class ForwardingEntry:
-    """An entry that forwards opaque requests, with all its parts."""
+    """An entry that forwards opaque requests, with all its components."""
 
     def __init__(
         self, config: settings.Forwarding, adapters: ForwardingAdapters
@@ -59,7 +62,7 @@
         self.runners: list[web.AppRunner] = []
 
     async def start(self) -> None:
-        """Open the sockets, and serve."""
+        """Open the sockets and start serving."""
         from aiohttp import web
 
         from bulrushhold import decisions
@@ -71,7 +74,7 @@
         config = self.config
         self.transport = node.ZmqTransport(str(config.peer))
         self.session = adapters.make_session()
-        self.client = adapters.HttpBackendClient(self.adapters.engines)
+        self.client = adapters.HttpBackendClient(self.adapters.engine_dialect)
         placement = decisions.Placement(random.Random())
         budget = decisions.RepeatBudget(
             config.repeat_ratio,
@@ -86,14 +89,14 @@
             ),
             [str(seed) for seed in config.seeds],
             self.transport,
-            self.adapters.backends(self.session),
+            self.adapters.make_backend_list(self.session),
             placement,
             budget,
             crashers,
             admission,
         )
-        self.metrics = node.make_served_metrics('bulrushhold_entry')
-        parts = forwarding.Parts(
+        self.metrics = node.make_prometheus_metrics('bulrushhold_entry')
+        components = forwarding.Parts(
             placement,
             self.client,
             budget,
@@ -101,59 +104,64 @@
             crashers,
             admission,
         )
-        self.forwarder = forwarding.Forwarder(self.fleet, parts)
+        self.forwarder = forwarding.Forwarder(self.fleet, components)
         self.ingress = adapters.Ingress(
-            self.forwarder.handle, self.adapters.callers
+            self.forwarder.handle, self.adapters.caller_dialect
         )
-        self.follow = _background.in_background(self.fleet.follow())
+        self.follow_task = _background.in_background(self.fleet.follow())
         self.background.append(
             _background.in_background(self.fleet.read_list_alone())
         )
         self.background.append(_background.in_background(self.fleet.share()))
         await self.ingress.start(config.callers.host, config.callers.port)
-        for address, make in self.adapters.sites:
-            await self._open(web, address, make(self.fleet))
+        for address, make_application in self.adapters.listeners:
+            await self._start_listener(
+                web, address, make_application(self.fleet)
+            )
         if config.metrics is not None:
-            await self._open(
+            await self._start_listener(
                 web, config.metrics, adapters.metrics_application(self.metrics)
             )
         loguru.logger.bind(callers=str(config.callers)).info('entry started')
 
-    async def _open(
+    async def _start_listener(
         self, web: t.Any, address: settings.Address, app: 'web.Application'
     ) -> None:
-        runner = web.AppRunner(app, access_log=None, shutdown_timeout=CLOSE_S)
+        runner = web.AppRunner(
+            app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S
+        )
         await runner.setup()
         await web.TCPSite(runner, address.host, address.port).start()
         self.runners.append(runner)
 
     async def drain(self) -> None:
-        """Tell callers to leave, and serve those that still come.
+        """Ask callers to disconnect, and serve their requests meanwhile.
 
-        Callers learn late that this entry leaves, and a request may cross
-        a close unseen. So connections stay open until callers are gone,
-        and only then new requests are refused.
+        Callers learn with a delay that this entry is leaving, and a request
+        may be in flight while a connection is closed. Connections therefore
+        stay open as long as possible; new requests are refused only shortly
+        before the exit.
         """
-        begun = time.monotonic()
+        started_at = time.monotonic()
         self.fleet.leave()
         self.ingress.draining = True
-        self.follow.cancel()
-        self.follow = _background.in_background(self.fleet.follow())
+        self.follow_task.cancel()
+        self.follow_task = _background.in_background(self.fleet.follow())
         loguru.logger.info('draining')
-        last = begun + self.config.grace_s - EXIT_MARGIN_S
-        self.forwarder.ends_at = last
-        while time.monotonic() < last:
-            await asyncio.sleep(DRAIN_CHECK_S)
+        deadline = started_at + self.config.grace_s - EXIT_MARGIN_S
+        self.forwarder.ends_at = deadline
+        while time.monotonic() < deadline:
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
             now = time.monotonic()
-            lingered = now > begun + self.config.linger_s
-            if now > last - LAST_TAKEN_S:
+            linger_elapsed = now > started_at + self.config.linger_s
+            if now > deadline - REFUSE_BEFORE_EXIT_S:
                 self.forwarder.closing = True
-            if lingered and not self.ingress.busy:
+            if linger_elapsed and not self.ingress.busy:
                 break
 
     async def close(self) -> None:
-        """Stop all parts."""
-        tasks = [self.follow, *self.background]
+        """Stop all tasks and close all sockets."""
+        tasks = [self.follow_task, *self.background]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -167,9 +175,9 @@
 
 
 async def run_forwarding(entry: ForwardingEntry) -> None:
-    """Run a forwarding entry until it is told to stop, then drain it."""
+    """Run a forwarding entry until a signal stops it, then drain it."""
     stop = asyncio.Event()
-    _background.on_signals(stop.set)
+    _background.handle_stop_signals(stop.set)
     await entry.start()
     await stop.wait()
     await entry.drain()
--- a/src/bulrushhold/control/_follower.py
+++ b/src/bulrushhold/control/_follower.py
@@ -1,4 +1,4 @@
-"""Follows the leader's news from another control process."""
+"""Copies the leader's cluster view to another control process."""
 
 import asyncio
 import collections.abc as cabc
@@ -11,80 +11,82 @@
 from bulrushhold import messages
 from bulrushhold import ports
 
-HOLD_S: t.Final = 0.3
-# Over a hold by what a reply takes on a slow link and a busy leader.
-REPLY_S: t.Final = 0.3
-PAUSE_S: t.Final = 0.05
-# Longer than an election: entries stay meanwhile. Short enough for them to
-# find out elsewhere what operators were acknowledged.
-IN_TOUCH_S: t.Final = 1.4
+LONG_POLL_S: t.Final = 0.3
+# Added to the long poll for a slow link or a busy leader.
+REPLY_MARGIN_S: t.Final = 0.3
+RETRY_INTERVAL_S: t.Final = 0.05
+# Longer than an election, so that entries stay attached during one. Short
+# enough for entries to get committed changes from another process in time.
+LEADER_CONTACT_TIMEOUT_S: t.Final = 1.4
 
 
-class NewsFollower:
-    """Holds a long poll at the leader, and names the entries here to it.
+class LeaderFollower:
+    """Long-polls the leader and reports the locally attached entries to it.
 
-    :param me: this process.
-    :param leader: returns the leader's address; this process's own, or
-        ``''``, where there is none to follow.
-    :param entries: returns the entries that are attached here.
+    :param local_node: this process.
+    :param leader: returns the leader's address, or ``''`` if it is unknown.
+        Nothing is polled if it is this process's own address.
+    :param entries: returns the entries that are attached to this process.
     """
 
     def __init__(
         self,
         transport: ports.Transport,
-        me: messages.ControlNode,
-        news: _news.News,
+        local_node: messages.ControlNode,
+        view: _news.ClusterView,
         leader: cabc.Callable[[], str],
         entries: cabc.Callable[[], list[messages.ListedEntry]],
         clock: cabc.Callable[[], float],
     ) -> None:
         self.transport = transport
-        self.me = me
-        self.news = news
+        self.local_node = local_node
+        self.view = view
         self.leader = leader
         self.entries = entries
         self.clock = clock
         self.last_reply_at = float('-inf')
 
     @property
-    def in_touch(self) -> bool:
-        """Whether a leader has answered lately."""
-        return self.clock() - self.last_reply_at < IN_TOUCH_S
+    def has_leader_contact(self) -> bool:
+        """Whether a leader answered within the contact timeout."""
+        return self.clock() - self.last_reply_at < LEADER_CONTACT_TIMEOUT_S
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Poll the leader until cancelled."""
         while True:
-            leader = self._other_leader()
+            leader = self._remote_leader()
             if not leader or not await self._poll(leader):
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
 
     def announce(self) -> None:
-        """Name the entries here to the leader, without waiting."""
-        leader = self._other_leader()
+        """Send the attached entries to the leader without awaiting a reply."""
+        leader = self._remote_leader()
         if leader:
-            self.transport.send(leader, self._watch(0.0))
+            self.transport.send(leader, self._watch_request(0.0))
 
-    def _other_leader(self) -> str:
+    def _remote_leader(self) -> str:
         leader = self.leader()
-        return '' if leader == self.me.address else leader
+        return '' if leader == self.local_node.address else leader
 
-    def _watch(self, hold_s: float) -> messages.NodeWatch:
+    def _watch_request(self, hold_s: float) -> messages.NodeWatch:
         return messages.NodeWatch(
-            self.me, self.entries(), self.news.known(), hold_s
+            self.local_node, self.entries(), self.view.versions(), hold_s
         )
 
     async def _poll(self, leader: str) -> bool:
         try:
             reply = await self.transport.request(
-                leader, self._watch(HOLD_S), HOLD_S + REPLY_S
+                leader,
+                self._watch_request(LONG_POLL_S),
+                LONG_POLL_S + REPLY_MARGIN_S,
             )
         except errors.PeerError as error:
             loguru.logger.bind(peer=leader, error=str(error)).warning(
-                'leader lost'
+                'leader unreachable'
             )
             return False
         if reply.status != 'done':
             return False
         self.last_reply_at = self.clock()
-        self.news.take(reply)
+        self.view.update(reply)
         return True
--- a/src/bulrushhold/control/_news.py
+++ b/src/bulrushhold/control/_news.py
@@ -1,4 +1,4 @@
-"""What control says, as far as one control process knows it."""
+"""A control process's view of the cluster."""
 
 import asyncio
 import collections.abc as cabc
@@ -9,16 +9,16 @@
 
 from bulrushhold import messages
 
-MAX_HOLD_S: t.Final = 1.0
+MAX_LONG_POLL_S: t.Final = 1.0
 
 
-class News:
+class ClusterView:
     """The newest route map, backend servers, entries and control processes.
 
-    Made by the leader, and handed on by all other control processes with
-    the leader's versions.
+    The leader writes it; other control processes hold copies with the
+    leader's versions.
 
-    :param clock: seconds; goes on while the machine is suspended.
+    :param clock: returns seconds, including time spent suspended.
     """
 
     def __init__(self, clock: cabc.Callable[[], float]) -> None:
@@ -36,39 +36,39 @@
         self.changed = asyncio.Event()
 
     def notify(self) -> None:
-        """Wake the long polls that wait for news."""
+        """Wake the long polls that wait for a change."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def wait(
         self, ready: cabc.Callable[[], bool], hold_s: float
     ) -> None:
-        """Wait until ``ready``, for a bounded time."""
-        end = self.clock() + min(hold_s, MAX_HOLD_S)
+        """Wait until ``ready()`` is true or the hold time is over."""
+        deadline = self.clock() + min(hold_s, MAX_LONG_POLL_S)
         while not ready():
-            left = end - self.clock()
-            if left <= 0:
+            remaining_s = deadline - self.clock()
+            if remaining_s <= 0:
                 return
             changed = self.changed
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await changed.wait()
 
-    def is_newer_than(self, known: messages.Known) -> bool:
-        """Whether a process that knows so much is to be answered."""
+    def is_newer_than(self, versions: messages.Known) -> bool:
+        """Whether any part is newer than ``versions``."""
         return (
-            self.map_version > known.route_map
-            or self.backends_version not in ('', known.backends)
-            or self.entries_version not in ('', known.entries)
-            or self.nodes_version not in ('', known.nodes)
+            self.map_version > versions.route_map
+            or self.backends_version not in ('', versions.backends)
+            or self.entries_version not in ('', versions.entries)
+            or self.nodes_version not in ('', versions.nodes)
         )
 
-    def reply(self, known: messages.Known) -> messages.WatchReply:
-        """Return what a process doesn't know yet."""
-        newer_map = self.map_version > known.route_map
-        newer_backends = self.backends_version not in ('', known.backends)
-        newer_entries = self.entries_version not in ('', known.entries)
-        newer_nodes = self.nodes_version not in ('', known.nodes)
+    def reply(self, versions: messages.Known) -> messages.WatchReply:
+        """Return the parts that are newer than ``versions``."""
+        newer_map = self.map_version > versions.route_map
+        newer_backends = self.backends_version not in ('', versions.backends)
+        newer_entries = self.entries_version not in ('', versions.entries)
+        newer_nodes = self.nodes_version not in ('', versions.nodes)
         return messages.WatchReply(
             'done',
             core=self.core,
@@ -83,8 +83,8 @@
             nodes=self.nodes if newer_nodes else None,
         )
 
-    def known(self) -> messages.Known:
-        """Return the versions of all that is here."""
+    def versions(self) -> messages.Known:
+        """Return the version of each part."""
         return messages.Known(
             self.map_version,
             self.backends_version,
@@ -92,12 +92,12 @@
             self.nodes_version,
         )
 
-    def take(self, reply: messages.WatchReply) -> None:
-        """Take what the leader answered; wake long polls if it is news."""
-        known = self.known()
+    def update(self, reply: messages.WatchReply) -> None:
+        """Apply a reply of the leader; wake long polls on a change."""
+        versions = self.versions()
         if reply.core:
             self.core = reply.core
-        # Forward only: a leader that was just deposed may answer late.
+        # Ignore older versions: a deposed leader may answer late.
         if reply.route_map is not None:
             if reply.map_version > self.map_version:
                 self.route_map = reply.route_map
@@ -115,11 +115,11 @@
         if reply.nodes is not None:
             self.nodes = reply.nodes
             self.nodes_version = reply.nodes_version
-        if self.known() != known:
+        if self.versions() != versions:
             self.notify()
 
-    def take_nodes(self, nodes: list[messages.ControlNode]) -> None:
-        """Take the control processes that the leader hears of."""
+    def update_nodes(self, nodes: list[messages.ControlNode]) -> None:
+        """Replace the list of control processes."""
         if nodes != self.nodes:
             self.nodes = nodes
             text = '/'.join(sorted(map(str, nodes))).encode()
--- a/src/bulrushhold/control/_relay.py
+++ b/src/bulrushhold/control/_relay.py
@@ -1,7 +1,7 @@
-"""A control process without a disk: knows where the others are.
+"""A control process without a disk, which forwards to the leader.
 
-Operators, entries and newcomers may be told of any control process. One
-without a disk keeps nothing, and so has no vote; it leads them on.
+Operators, entries and joining replicas may be configured with the address
+of any control process. A relay stores nothing and has no vote.
 """
 
 import asyncio
@@ -15,21 +15,21 @@
 from bulrushhold import node
 from bulrushhold import ports
 
-LOOK_EVERY_S: t.Final = 0.3
-# Entries wait for news while no leader is known.
-SEEK_EVERY_S: t.Final = 0.1
-ASK_S: t.Final = 0.3
-# All instances start within 0.3 s of each other, and take as long to start.
-FOUND_AFTER_S: t.Final = 0.7
+LEADER_CHECK_INTERVAL_S: t.Final = 0.3
+# Shorter, because entries get no updates while the leader is unknown.
+LEADER_SEARCH_INTERVAL_S: t.Final = 0.1
+REQUEST_TIMEOUT_S: t.Final = 0.3
+# Time for all replicas to ask to join, so that the choice is deterministic.
+BOOTSTRAP_DELAY_S: t.Final = 0.7
 
 
 class Relay:
-    """Follows control, and names its leader to whoever asks.
+    """Tracks the leader and forwards requests to it.
 
     :param peer: this process's own address.
-    :param contacts: control processes, with or without a disk.
-    :param appoints: this is the first start of all, and this process the
-        one that says which replica founds the log.
+    :param contacts: addresses of control processes, replicas or relays.
+    :param bootstraps: whether this is the first start of the cluster, and
+        this relay selects the replica that bootstraps the log.
     """
 
     def __init__(
@@ -48,69 +48,75 @@
         self.clock = clock
         self.leader = ''
         self.core: list[str] = []
-        self.newcomers: dict[str, str] = {}
-        self.founder = ''
-        self.first_at: float | None = None
+        self.join_candidates: dict[str, str] = {}
+        self.bootstrap_address = ''
+        self.first_join_at: float | None = None
         self.calls = _calls.LeaderCalls(
-            transport, lambda: self.leader, self._never_here
+            transport, lambda: self.leader, self._never_local
         )
         transport.handle(messages.JoinRequest, self._on_join)
         transport.handle(messages.CoreRead, self._on_core_read)
-        transport.handle(messages.CoreReply, self._on_news)
+        transport.handle(messages.CoreReply, self._on_core_reply)
 
     async def run(self) -> None:
-        """Look for the leader, again and again."""
+        """Track the leader until cancelled."""
         while True:
-            await self._look()
-            self._appoint()
-            every = LOOK_EVERY_S if self.leader else SEEK_EVERY_S
-            await asyncio.sleep(every)
-
-    async def _look(self) -> None:
-        known = [self.leader, *self.core, *self.newcomers.values()]
-        for address in dict.fromkeys([*known, *self.contacts]):
+            await self._find_leader()
+            self._bootstrap_log()
+            interval_s = (
+                LEADER_CHECK_INTERVAL_S
+                if self.leader
+                else LEADER_SEARCH_INTERVAL_S
+            )
+            await asyncio.sleep(interval_s)
+
+    async def _find_leader(self) -> None:
+        addresses = [self.leader, *self.core, *self.join_candidates.values()]
+        for address in dict.fromkeys([*addresses, *self.contacts]):
             if not address or address == self.peer:
                 continue
             with contextlib.suppress(errors.PeerError):
                 reply = await self.transport.request(
-                    address, messages.CoreRead(), ASK_S
+                    address, messages.CoreRead(), REQUEST_TIMEOUT_S
                 )
-                self._learn(reply)
+                self._update_members(reply)
                 if reply.leader:
                     return
         self.leader = ''
 
-    def _learn(self, news: messages.CoreReply) -> None:
-        if news.config.voters:
-            self.core = sorted(news.config.voters.values())
-        if news.leader:
-            self._follow(news.leader)
+    def _update_members(self, reply: messages.CoreReply) -> None:
+        if reply.config.voters:
+            self.core = sorted(reply.config.voters.values())
+        if reply.leader:
+            self._set_leader(reply.leader)
 
-    def _follow(self, leader: str) -> None:
+    def _set_leader(self, leader: str) -> None:
         if leader != self.leader:
-            node.log_decision('control found', peer=leader)
+            node.log_decision('leader found', peer=leader)
         self.leader = leader
         self.appoints = False
 
-    def _appoint(self) -> None:
-        """Have the first replica by address found the log.
+    def _bootstrap_log(self) -> None:
+        """Order the replica with the lowest address to bootstrap the log.
 
-        Only one may, and always the same one: a second log beside the
-        first would take acknowledgements that nobody could find again.
+        Only one replica is ever chosen: a second log would accept writes
+        that are lost once the other log is used.
         """
-        if not self.appoints or self.first_at is None:
+        if not self.appoints or self.first_join_at is None:
             return
-        if self.clock() - self.first_at < FOUND_AFTER_S:
+        if self.clock() - self.first_join_at < BOOTSTRAP_DELAY_S:
             return
-        if not self.founder:
-            self.founder = min(self.newcomers.values())
-            node.log_decision('founder appointed', peer=self.founder)
-        self.transport.send(self.founder, messages.Found())
+        if not self.bootstrap_address:
+            self.bootstrap_address = min(self.join_candidates.values())
+            node.log_decision(
+                'bootstrap replica selected', peer=self.bootstrap_address
+            )
+        self.transport.send(self.bootstrap_address, messages.Found())
 
     async def _on_join(self, request: messages.JoinRequest) -> None:
-        self.newcomers[request.replica] = request.address
-        if self.first_at is None:
-            self.first_at = self.clock()
+        self.join_candidates[request.replica] = request.address
+        if self.first_join_at is None:
+            self.first_join_at = self.clock()
         if self.leader:
             self.transport.send(self.leader, request)
 
@@ -121,8 +127,8 @@
         voters = {address: address for address in self.core}
         return messages.CoreReply(self.leader, messages.Config(voters=voters))
 
-    async def _on_news(self, news: messages.CoreReply) -> None:
-        self._learn(news)
+    async def _on_core_reply(self, reply: messages.CoreReply) -> None:
+        self._update_members(reply)
 
-    async def _never_here(self, request: messages.Message) -> None:
+    async def _never_local(self, request: messages.Message) -> None:
         del request
--- a/src/bulrushhold/control/_watch.py
+++ b/src/bulrushhold/control/_watch.py
@@ -1,4 +1,4 @@
-"""Serves the entries at one control process: news and load reports."""
+"""Serves cluster view and load reports to the attached entries."""
 
 import asyncio
 import collections.abc as cabc
@@ -15,100 +15,102 @@
 from bulrushhold import node
 from bulrushhold import ports
 
-# Reports come with every stream that begins; each batch costs a message for
-# each entry. A prompt is read for many times as long.
-PUBLISH_EVERY_S: t.Final = 0.15
-# Sums go to a few processes only.
-EXCHANGE_EVERY_S: t.Final = 0.05
-# Without changes, so that others know that this process lives.
-REFRESH_S: t.Final = 0.1
-# Processes that don't send sums, in case that they have entries soon.
-SEND_TO_ALL_EVERY_S: t.Final = 1.0
-EXPIRE_EVERY_S: t.Final = 0.1
-# Entries that start together become one piece of news.
-GATHER_S: t.Final = 0.05
+# Batches load changes, as each update is a message to every attached entry.
+PUBLISH_INTERVAL_S: t.Final = 0.15
+# Minimum time between two sums sent to other control processes.
+EXCHANGE_INTERVAL_S: t.Final = 0.05
+# Sent as a heartbeat when nothing has changed.
+REFRESH_INTERVAL_S: t.Final = 0.1
+# Includes processes without entries, which may get some soon.
+BROADCAST_INTERVAL_S: t.Final = 1.0
+EXPIRY_INTERVAL_S: t.Final = 0.1
+# Batches entries that attach at the same time.
+ATTACH_BATCH_S: t.Final = 0.05
 
 
 class WatchServer:
-    """Answers entries' long polls, and exchanges load with its peers.
+    """Answers entries' long polls and exchanges load with its peers.
 
-    Load reports need no agreement: they go from each entry to one control
-    process of its data centre, and from there as sums to the others, so that
-    no process hears of every entry, and none is needed by all.
+    Load reports bypass the replicated log: each entry sends them to one
+    control process of its data centre, which sends their sum to its peers.
 
-    :param me: this process.
-    :param news: what control says.
-    :param in_touch: whether that is what control says now.
-    :param leader: returns the address to be named while it isn't.
+    :param local_node: this process.
+    :param view: the cluster view that is served.
+    :param has_leader_contact: returns whether the view is current.
+    :param leader: returns the address that entries are redirected to while
+        the view is not current.
     """
 
     def __init__(
         self,
         transport: ports.Transport,
-        me: messages.ControlNode,
-        news: _news.News,
-        in_touch: cabc.Callable[[], bool],
+        local_node: messages.ControlNode,
+        view: _news.ClusterView,
+        has_leader_contact: cabc.Callable[[], bool],
         leader: cabc.Callable[[], str],
         clock: cabc.Callable[[], float],
     ) -> None:
         self.transport = transport
-        self.me = me
-        self.news = news
-        self.in_touch = in_touch
+        self.local_node = local_node
+        self.view = view
+        self.has_leader_contact = has_leader_contact
         self.leader = leader
         self.clock = clock
         self.loads = decisions.LoadAggregator(
-            me.address, me.data_centre, random.getrandbits(32)
+            local_node.address, local_node.data_centre, random.getrandbits(32)
         )
-        self.attached = _registry.EntryRegistry()
-        self.on_attached: list[cabc.Callable[[], None]] = []
-        self.published = 0
-        self.publishing = False
-        self.attaching = False
-        self.unsent = asyncio.Event()
+        self.registry = _registry.EntryRegistry()
+        self.attach_hooks: list[cabc.Callable[[], None]] = []
+        self.published_number = 0
+        self.publish_scheduled = False
+        self.hooks_scheduled = False
+        self.reports_changed = asyncio.Event()
         self.has_sent_reports = False
-        self.sent_to_all_at = float('-inf')
+        self.broadcast_at = float('-inf')
         transport.handle(messages.Watch, self._on_watch)
         transport.handle(messages.LoadReport, self._on_load_report)
         transport.handle(messages.NodeLoad, self._on_node_load)
 
     def entries(self) -> list[messages.ListedEntry]:
-        """Return the entries that are attached here."""
-        return self.attached.entries()
+        """Return the entries that are attached to this process."""
+        return self.registry.entries()
 
     async def run(self) -> None:
-        """Exchange sums and drop silent entries until cancelled."""
+        """Exchange load sums and expire entries until cancelled."""
         await asyncio.gather(self._expire(), self._send_sums())
 
     # Entries
 
     async def _on_watch(self, watch: messages.Watch) -> messages.WatchReply:
-        if self.attached.hear(watch.entry, self.clock()):
-            self._tell_attached()
-        if self.in_touch():
-            await self.news.wait(lambda: self._has_news(watch), watch.hold_s)
-        # Again, as late as can be: the process may have been suspended.
-        if self.in_touch():
-            reply = self.news.reply(watch.known)
+        if self.registry.hear(watch.entry, self.clock()):
+            self._schedule_attach_hooks()
+        if self.has_leader_contact():
+            await self.view.wait(
+                lambda: self._has_changes(watch), watch.hold_s
+            )
+        # Check again: the process may have been suspended during the poll.
+        if self.has_leader_contact():
+            reply = self.view.reply(watch.known)
         else:
-            core = self.news.core
+            core = self.view.core
             reply = messages.WatchReply('not_leader', self.leader(), core)
         return attrs.evolve(reply, loads=self._summary(watch))
 
-    def _tell_attached(self) -> None:
-        if not self.attaching:
-            self.attaching = True
+    def _schedule_attach_hooks(self) -> None:
+        if not self.hooks_scheduled:
+            self.hooks_scheduled = True
             loop = asyncio.get_running_loop()
-            loop.call_later(GATHER_S, self._run_hooks)
+            loop.call_later(ATTACH_BATCH_S, self._run_attach_hooks)
 
-    def _run_hooks(self) -> None:
-        self.attaching = False
-        for hook in self.on_attached:
+    def _run_attach_hooks(self) -> None:
+        self.hooks_scheduled = False
+        for hook in self.attach_hooks:
             hook()
 
-    def _has_news(self, watch: messages.Watch) -> bool:
-        return self.published > watch.known_loads or self.news.is_newer_than(
-            watch.known
+    def _has_changes(self, watch: messages.Watch) -> bool:
+        return (
+            self.published_number > watch.known_loads
+            or self.view.is_newer_than(watch.known)
         )
 
     def _summary(self, watch: messages.Watch) -> messages.LoadSummary | None:
@@ -116,7 +118,7 @@
         if self.loads.number == known:
             return None
         if self.loads.number < known:
-            # The number was given before this process started.
+            # The number is from a former start of this process.
             known = 0
         return self.loads.others(watch.entry.name, known, self.clock())
 
@@ -133,38 +135,38 @@
             self._publish()
         else:
             self._publish_soon()
-        self.unsent.set()
+        self.reports_changed.set()
         return messages.Received()
 
     async def _on_node_load(self, load: messages.NodeLoad) -> None:
-        known = self.loads.number
+        previous = self.loads.number
         if self.loads.take_node(load, self.clock()):
             self._publish()
-        elif self.loads.number != known:
+        elif self.loads.number != previous:
             self._publish_soon()
 
     def _publish_soon(self) -> None:
-        if not self.publishing:
-            self.publishing = True
+        if not self.publish_scheduled:
+            self.publish_scheduled = True
             loop = asyncio.get_running_loop()
-            loop.call_later(PUBLISH_EVERY_S, self._publish)
+            loop.call_later(PUBLISH_INTERVAL_S, self._publish)
 
     def _publish(self) -> None:
-        self.publishing = False
-        self.published = self.loads.number
-        self.news.notify()
+        self.publish_scheduled = False
+        self.published_number = self.loads.number
+        self.view.notify()
 
     async def _expire(self) -> None:
         while True:
-            await asyncio.sleep(EXPIRE_EVERY_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             now = self.clock()
-            gone = self.attached.expire(now)
-            for name in gone:
+            expired = self.registry.expire(now)
+            for name in expired:
                 self.loads.forget(name)
-            if gone:
-                node.log_decision('entries silent', entries=gone)
-                self._run_hooks()
-            if self.loads.expire(now) or gone:
+            if expired:
+                node.log_decision('entries expired', entries=expired)
+                self._run_attach_hooks()
+            if self.loads.expire(now) or expired:
                 self._publish_soon()
 
     # Other control processes
@@ -172,16 +174,16 @@
     async def _send_sums(self) -> None:
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(REFRESH_S):
-                    await self.unsent.wait()
-            self.unsent.clear()
-            # Once more without entries, or the others would go on counting
-            # those that have left.
+                async with asyncio.timeout(REFRESH_INTERVAL_S):
+                    await self.reports_changed.wait()
+            self.reports_changed.clear()
+            # Send one empty sum after the last entry has left; otherwise
+            # peers would keep counting its load.
             has_reports = bool(self.loads.reports)
             if has_reports or self.has_sent_reports:
                 self._send_sum()
             self.has_sent_reports = has_reports
-            await asyncio.sleep(EXCHANGE_EVERY_S)
+            await asyncio.sleep(EXCHANGE_INTERVAL_S)
 
     def _send_sum(self) -> None:
         now = self.clock()
@@ -190,14 +192,14 @@
             self.transport.send(address, load)
 
     def _receivers(self, now: float) -> set[str]:
-        """Return the processes that have entries, or are likely to."""
-        to_all = now - self.sent_to_all_at > SEND_TO_ALL_EVERY_S
-        if to_all:
-            self.sent_to_all_at = now
-        likely = {
-            known.address
-            for known in self.news.nodes
-            if to_all or not known.replica
+        """Return the addresses of processes that have or may get entries."""
+        broadcast = now - self.broadcast_at > BROADCAST_INTERVAL_S
+        if broadcast:
+            self.broadcast_at = now
+        receivers = {
+            peer.address
+            for peer in self.view.nodes
+            if broadcast or not peer.replica
         }
-        likely.update(self.loads.live_nodes(now))
-        return likely - {self.me.address}
+        receivers.update(self.loads.live_nodes(now))
+        return receivers - {self.local_node.address}
--- a/src/bulrushhold/node/_filelog.py
+++ b/src/bulrushhold/node/_filelog.py
@@ -1,9 +1,8 @@
-"""The replicated log on disk: checksummed records, synced.
+"""The replicated log on disk, as checksummed and synced records.
 
-Files of the data folder: ``identity`` (who this replica is),
-``snapshot`` (whole state) and ``log`` (entries after it). Whole files
-are replaced by a rename, with a sync of the file before it and of the
-folder after it.
+The data folder holds ``identity`` (the replica's identity), ``snapshot``
+(the state up to an index) and ``log`` (the entries after it). Files are
+replaced atomically: write, sync, rename, sync the folder.
 """
 
 import os
@@ -26,10 +25,10 @@
 
 @attrs.frozen
 class Identity:
-    """Who a replica is; a new disk means a new one.
+    """The identity of a replica; a replaced disk gets a new one.
 
-    :param founding: the first members, for those that found the log;
-        empty for a replica that joins.
+    :param founding: the initial voters, if this replica is one of them;
+        empty for a replica that joined later.
     """
 
     replica: str
@@ -38,21 +37,21 @@
 
 @attrs.frozen
 class _Record:
-    """One synced write: the vote, and entries."""
+    """One synced write: term, vote and entries."""
 
     term: int
     vote: str
     entries: list[messages.LogEntry]
 
 
-_RECORDS = msgspec.msgpack.Decoder(_Record)
-_SNAPSHOTS = msgspec.msgpack.Decoder(messages.InstallSnapshot)
+_RECORD_DECODER = msgspec.msgpack.Decoder(_Record)
+_SNAPSHOT_DECODER = msgspec.msgpack.Decoder(messages.InstallSnapshot)
 
 
 class FileLog(ports.LogStore):
-    """The data folder of one replica.
+    """Stores log, snapshot and identity of one replica.
 
-    :param folder: must exist; one process at a time.
+    :param folder: the data folder; used by one process at a time.
     """
 
     def __init__(self, folder: str | os.PathLike[str]) -> None:
@@ -65,17 +64,19 @@
         self.vote = ''
 
     def identity(self) -> Identity | None:
-        """Return the stored identity, or ``None`` in an empty folder.
+        """Return the stored identity, or ``None`` if the folder is empty.
 
-        :raises StorageError: where it is damaged, or files of a log are
-            there without it.
+        :raises StorageError: if it is damaged, or is missing while a log
+            or a snapshot exists.
         """
         data = self._read(self.identity_path)
         if data is None:
             if self.log_path.exists() or self.snapshot_path.exists():
                 raise self._error('identity is missing', self.identity_path)
             return None
-        payloads, _ = self._records(data, self.identity_path, torn=False)
+        payloads, _ = self._read_records(
+            data, self.identity_path, allow_torn_tail=False
+        )
         try:
             return msgspec.msgpack.decode(payloads[0], type=Identity)
         except (msgspec.DecodeError, IndexError) as error:
@@ -85,59 +86,64 @@
         """Store the identity of a new replica."""
         self.folder.mkdir(parents=True, exist_ok=True)
         payload = msgspec.msgpack.encode(identity)
-        self._replace(self.identity_path, _frame(payload))
+        self._replace(self.identity_path, _encode_record(payload))
 
     def load(self, founding: messages.Config) -> decisions.Durable:
-        """Read snapshot and log; cut a torn tail.
+        """Read snapshot and log; truncate an incomplete last record.
 
-        :raises StorageError: naming file and offset of any other damage.
+        :raises StorageError: for any other damage, with file and offset.
         """
         durable = decisions.Durable(founding=founding)
         snapshot = self._read(self.snapshot_path)
         if snapshot is not None:
             durable.snapshot = self._load_snapshot(snapshot)
         data = self._read(self.log_path) or b''
-        payloads, good = self._records(data, self.log_path, torn=True)
+        payloads, valid_length = self._read_records(
+            data, self.log_path, allow_torn_tail=True
+        )
         for payload in payloads:
-            self._replay(_RECORDS.decode(payload), durable)
+            self._replay(_RECORD_DECODER.decode(payload), durable)
         if durable.snapshot is not None:
             durable.term = max(durable.term, durable.snapshot.term)
         self.term, self.vote = durable.term, durable.vote
-        self._open(good)
+        self._open_log(valid_length)
         return durable
 
     def save(
         self, term: int, vote: str, entries: list[messages.LogEntry]
     ) -> None:
-        """Append one record and sync it."""
+        """Append a record and sync the file."""
         self.term, self.vote = term, vote
         payload = msgspec.msgpack.encode(_Record(term, vote, entries))
         try:
             assert self.file is not None
-            _write_all(self.file.fileno(), _frame(payload))
+            _write_all(self.file.fileno(), _encode_record(payload))
             os.fdatasync(self.file.fileno())
         except OSError as error:
-            # After a failed sync the kernel may have dropped the pages and
-            # a second sync would succeed without them: only a stop, and a
-            # read of what is really there, is safe.
+            # After a failed sync the kernel may have dropped the pages, and
+            # a second sync would succeed without them. Never retry; the
+            # files have to be read again.
             raise self._error(str(error), self.log_path) from error
 
     def save_snapshot(
         self, snapshot: messages.InstallSnapshot, tail: list[messages.LogEntry]
     ) -> None:
-        """Store a snapshot, then start the log anew with the tail.
+        """Store a snapshot, then replace the log by its tail.
 
-        A crash between the two leaves the new snapshot with the old log,
-        whose entries up to the snapshot are passed over on loading.
+        A crash between the two leaves the new snapshot with the old log;
+        ``load`` skips entries that the snapshot covers.
         """
         self._replace(
-            self.snapshot_path, _frame(msgspec.msgpack.encode(snapshot))
+            self.snapshot_path,
+            _encode_record(msgspec.msgpack.encode(snapshot)),
         )
         record = _Record(self.term, self.vote, tail)
         if self.file is not None:
             self.file.close()
-        self._replace(self.log_path, _frame(msgspec.msgpack.encode(record)))
-        self._open(self.log_path.stat().st_size)
+        self._replace(
+            self.log_path, _encode_record(msgspec.msgpack.encode(record))
+        )
+        self._open_log(self.log_path.stat().st_size)
 
     def close(self) -> None:
         """Close the log file."""
@@ -146,51 +152,55 @@
             self.file = None
 
     def _load_snapshot(self, data: bytes) -> messages.InstallSnapshot:
-        payloads, _ = self._records(data, self.snapshot_path, torn=False)
+        payloads, _ = self._read_records(
+            data, self.snapshot_path, allow_torn_tail=False
+        )
         try:
-            return _SNAPSHOTS.decode(payloads[0])
+            return _SNAPSHOT_DECODER.decode(payloads[0])
         except (msgspec.DecodeError, IndexError) as error:
             raise self._error('damaged', self.snapshot_path) from error
 
     def _replay(self, record: _Record, durable: decisions.Durable) -> None:
         durable.term, durable.vote = record.term, record.vote
-        first = durable.snapshot.index if durable.snapshot else 0
+        snapshot_index = durable.snapshot.index if durable.snapshot else 0
         for entry in record.entries:
-            if entry.index <= first:
+            if entry.index <= snapshot_index:
                 continue
-            position = entry.index - first - 1
+            position = entry.index - snapshot_index - 1
             if position > len(durable.entries):
                 raise self._error(
-                    f'entry {entry.index} follows a gap', self.log_path
+                    f'entries before {entry.index} are missing', self.log_path
                 )
             del durable.entries[position:]
             durable.entries.append(entry)
 
-    def _records(
-        self, data: bytes, path: pathlib.Path, *, torn: bool
+    def _read_records(
+        self, data: bytes, path: pathlib.Path, *, allow_torn_tail: bool
     ) -> tuple[list[bytes], int]:
-        """Return the payloads and the length of the good part.
+        """Return the payloads and the length of the valid data.
 
-        A write that a crash cut short is the last one, and was never
-        acknowledged: it may be cut off. Damage with good records behind
-        it is a lost promise, and no replica may start on it.
+        An incomplete last record was never acknowledged and may be dropped.
+        An invalid record before a valid one may have been acknowledged, so
+        loading fails.
         """
         payloads: list[bytes] = []
         offset = 0
         while offset < len(data):
-            payload = _payload_at(data, offset)
+            payload = _decode_record_at(data, offset)
             if payload is None:
-                if torn and not _any_record_after(data, offset):
+                if allow_torn_tail and not _has_valid_record_after(
+                    data, offset
+                ):
                     break
                 raise self._error(f'damaged at offset {offset}', path)
             payloads.append(payload)
             offset += _HEADER.size + len(payload)
         return payloads, offset
 
-    def _open(self, length: int) -> None:
+    def _open_log(self, length: int) -> None:
         try:
-            # Unbuffered: what a full disk refused would else be written
-            # again when the file is closed, and fail there.
+            # Unbuffered, so that close() doesn't retry a write that failed
+            # on a full disk.
             self.file = open(self.log_path, 'ab', buffering=0)
             self.file.truncate(length)
             os.fsync(self.file.fileno())
@@ -207,23 +217,23 @@
             raise self._error(str(error), path) from error
 
     def _replace(self, path: pathlib.Path, data: bytes) -> None:
-        fresh = path.with_suffix('.new')
+        temporary = path.with_suffix('.new')
         try:
-            with open(fresh, 'wb') as file:
+            with open(temporary, 'wb') as file:
                 file.write(data)
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(fresh, path)
+            os.replace(temporary, path)
             self._sync_folder()
         except OSError as error:
             raise self._error(str(error), path) from error
 
     def _sync_folder(self) -> None:
-        handle = os.open(self.folder, os.O_RDONLY)
+        descriptor = os.open(self.folder, os.O_RDONLY)
         try:
-            os.fsync(handle)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
+            os.close(descriptor)
 
     def _error(self, reason: str, path: pathlib.Path) -> errors.StorageError:
         return errors.StorageError(reason, 'storage', str(path))
@@ -234,11 +244,11 @@
         data = data[os.write(descriptor, data) :]
 
 
-def _frame(payload: bytes) -> bytes:
+def _encode_record(payload: bytes) -> bytes:
     return _HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def _payload_at(data: bytes, offset: int) -> bytes | None:
+def _decode_record_at(data: bytes, offset: int) -> bytes | None:
     start = offset + _HEADER.size
     if start > len(data):
         return None
@@ -249,9 +259,9 @@
     return payload if zlib.crc32(payload) == checksum else None
 
 
-def _any_record_after(data: bytes, offset: int) -> bool:
-    """Whether a good record stands anywhere behind a bad one."""
+def _has_valid_record_after(data: bytes, offset: int) -> bool:
+    """Whether a valid record starts anywhere after ``offset``."""
     return any(
-        _payload_at(data, start) is not None
+        _decode_record_at(data, start) is not None
         for start in range(offset + 1, len(data) - _HEADER.size)
     )
--- a/src/bulrushhold/node/_logs.py
+++ b/src/bulrushhold/node/_logs.py
@@ -1,8 +1,8 @@
-"""Logs as JSON lines on standard output, through loguru.
+"""Logging as JSON lines on standard output, through loguru.
 
-A process must not wait for whoever reads its log, nor write without
-bound: lines go through a short queue to a thread of their own, and those
-that find no room, or come too fast, are dropped and counted.
+A slow reader of the log must not block the process. Lines go through a
+bounded queue to a writer thread; lines above the rate limit or the queue
+limit are dropped and counted.
 """
 
 import json
@@ -15,17 +15,17 @@
 
 import loguru
 
-# 300 lines of 300 bytes are 90 KB/s, and about 2 % of a core.
-LINES_PER_S: t.Final = 300
-QUEUE_LINES: t.Final = 2000
-FLUSH_S: t.Final = 1.0
+# Bounds log volume and CPU use.
+MAX_LINES_PER_S: t.Final = 300
+MAX_QUEUED_LINES: t.Final = 2000
+FLUSH_TIMEOUT_S: t.Final = 1.0
 
 
 class LineWriter:
-    """Writes lines to a file that may block, without blocking the caller.
+    """Writes lines to a file descriptor without blocking the caller.
 
-    :param descriptor: of the file.
-    :param clock: seconds, for the bound on lines.
+    :param descriptor: the file descriptor; its writes may block.
+    :param clock: returns seconds, for the rate limit.
     """
 
     def __init__(
@@ -35,60 +35,60 @@
     ) -> None:
         self.descriptor = descriptor
         self.clock = clock
-        self.lines: queue.Queue[str | None] = queue.Queue(QUEUE_LINES)
-        self.second = 0
-        self.in_second = 0
+        self.queue: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
+        self.current_second = 0
+        self.lines_this_second = 0
         self.dropped = 0
         self.thread = threading.Thread(target=self._write, daemon=True)
         self.thread.start()
 
     def put(self, line: str) -> None:
-        """Queue a line, or count it as dropped."""
+        """Queue a line, or drop it and count it."""
         second = int(self.clock())
-        if second != self.second:
-            self.second, self.in_second = second, 0
-            self._tell_dropped()
-        self.in_second += 1
-        if self.in_second > LINES_PER_S:
+        if second != self.current_second:
+            self.current_second, self.lines_this_second = second, 0
+            self._report_dropped()
+        self.lines_this_second += 1
+        if self.lines_this_second > MAX_LINES_PER_S:
             self.dropped += 1
             return
-        self._queue(line)
+        self._enqueue(line)
 
     def close(self) -> None:
-        """Write what is queued, for a short while at most."""
+        """Write the queued lines; give up after a timeout."""
         try:
-            self.lines.put_nowait(None)
+            self.queue.put_nowait(None)
         except queue.Full:
             return
-        self.thread.join(FLUSH_S)
+        self.thread.join(FLUSH_TIMEOUT_S)
 
-    def _queue(self, line: str) -> None:
+    def _enqueue(self, line: str) -> None:
         try:
-            self.lines.put_nowait(line)
+            self.queue.put_nowait(line)
         except queue.Full:
             self.dropped += 1
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         if self.dropped:
             count, self.dropped = self.dropped, 0
-            self._queue(json.dumps({'message': 'lines dropped', 'n': count}))
+            self._enqueue(json.dumps({'message': 'lines dropped', 'n': count}))
 
     def _write(self) -> None:
-        while (line := self.lines.get()) is not None:
+        while (line := self.queue.get()) is not None:
             data = line.encode() + b'\n'
             try:
                 while data:
                     data = data[os.write(self.descriptor, data) :]
             except OSError:
-                # Nobody can be told that the log is gone; requests go on.
+                # The error can't be logged; requests are still served.
                 self.dropped += 1
 
 
 def configure(level: str, process: str) -> LineWriter:
-    """Write log lines to standard output, one JSON object each.
+    """Set up logging to standard output, one JSON object per line.
 
-    :param level: least level that is written.
-    :param process: name put on each line.
+    :param level: lowest level that is written.
+    :param process: process name, added to each line.
     """
     writer = LineWriter(sys.stdout.fileno())
     loguru.logger.remove()
@@ -102,7 +102,7 @@
 
 
 def decision(name: str, **fields: t.Any) -> None:
-    """Log one routing or placement decision with its reasons."""
+    """Log a routing, placement or membership decision with its details."""
     loguru.logger.bind(decision=name, **fields).info(name)
 
 
--- a/src/bulrushhold/node/_served.py
+++ b/src/bulrushhold/node/_served.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, served as text."""
+"""Metrics in the text format of Prometheus."""
 
 import re
 
@@ -6,15 +6,15 @@
 
 from bulrushhold import ports
 
-# Seconds; from a plain answer to a long stream.
-BUCKETS = (0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
-_UNFIT = re.compile('[^a-zA-Z0-9_]')
+# From a plain response to a long stream.
+BUCKETS_S = (0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
+_INVALID_CHARACTERS = re.compile('[^a-zA-Z0-9_]')
 
 
 class ServedMetrics(ports.Metrics):
-    """Keeps figures in this process until they are asked for.
+    """Collects metrics in this process for Prometheus to scrape.
 
-    :param prefix: put before every name.
+    :param prefix: prepended to every metric name.
     """
 
     def __init__(self, prefix: str) -> None:
@@ -29,42 +29,42 @@
         counter = self.counters.get(name)
         if counter is None:
             counter = prometheus_client.Counter(
-                self._full(name), name, registry=self.registry
+                self._metric_name(name), name, registry=self.registry
             )
             self.counters[name] = counter
         counter.inc(amount)
 
     def time(self, name: str, seconds: float) -> None:
-        """Record one duration in a histogram."""
+        """Record a duration in a histogram."""
         histogram = self.histograms.get(name)
         if histogram is None:
             histogram = prometheus_client.Histogram(
-                self._full(name) + '_seconds',
+                self._metric_name(name) + '_seconds',
                 name,
                 registry=self.registry,
-                buckets=BUCKETS,
+                buckets=BUCKETS_S,
             )
             self.histograms[name] = histogram
         histogram.observe(seconds)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a level."""
+        """Set a gauge."""
         gauge = self.gauges.get(name)
         if gauge is None:
             gauge = prometheus_client.Gauge(
-                self._full(name), name, registry=self.registry
+                self._metric_name(name), name, registry=self.registry
             )
             self.gauges[name] = gauge
         gauge.set(value)
 
     def text(self) -> bytes:
-        """Return all figures in the text format of Prometheus."""
+        """Return all metrics in the text format of Prometheus."""
         return prometheus_client.generate_latest(self.registry)
 
-    def _full(self, name: str) -> str:
-        return f'{self.prefix}_{_UNFIT.sub("_", name)}'
+    def _metric_name(self, name: str) -> str:
+        return f'{self.prefix}_{_INVALID_CHARACTERS.sub("_", name)}'
 
 
 def make(prefix: str) -> ServedMetrics:
-    """Return metrics that are served by this process."""
+    """Return metrics for Prometheus."""
     return ServedMetrics(prefix)
--- a/src/bulrushhold/node/_zmqtransport.py
+++ b/src/bulrushhold/node/_zmqtransport.py
@@ -1,4 +1,4 @@
-"""Messages between the system's processes over zmq and TCP."""
+"""Message transport between processes over ZeroMQ and TCP."""
 
 import asyncio
 import collections.abc as cabc
@@ -14,62 +14,61 @@
 from bulrushhold import messages
 from bulrushhold import ports
 
-HIGH_WATER_MARK: t.Final = 4096
+MAX_QUEUED_MESSAGES: t.Final = 4096
 MAX_MESSAGE_BYTES: t.Final = 256 << 20
-# A silent connection is replaced within an election's time, so that one
-# replica's reconnection never costs an election.
-PROBE_MS: t.Final = 300
-SILENCE_MS: t.Final = 900
-_ONE_WAY: t.Final = b''
-# Then the loop's other work has its turn.
-MESSAGES_IN_A_ROW: t.Final = 50
-RELEASE_S: t.Final = 1.0
-RELEASE_CHECK_S: t.Final = 0.005
+# Shorter than an election, so that a reconnect doesn't cause one.
+HEARTBEAT_INTERVAL_MS: t.Final = 300
+CONNECTION_TIMEOUT_MS: t.Final = 900
+_NO_REPLY: t.Final = b''
+# Yields to the event loop's other callbacks after this many.
+MAX_MESSAGES_PER_READ: t.Final = 50
+UNBIND_TIMEOUT_S: t.Final = 1.0
+UNBIND_CHECK_INTERVAL_S: t.Final = 0.005
 
 
-class _Channel:
-    """A socket whose messages go to a callback, within the running loop.
+class _AsyncSocket:
+    """A ZeroMQ socket that calls back from the running event loop.
 
-    The socket's descriptor tells of a message only once: whoever is called
-    has to read until nothing is left, and to look again after each send.
+    The socket's descriptor is edge-triggered: after a notification, and
+    after each send, the socket has to be read until it is empty.
 
-    :param take: is called with the parts of each message.
-    :param parts: of a message; others come from strangers.
+    :param on_message: called with the frames of each message.
+    :param frame_count: frames of a valid message; others are ignored.
     """
 
     def __init__(
         self,
         zmq_socket: zmq.Socket[bytes],
-        take: cabc.Callable[[list[bytes]], None],
-        parts: int,
+        on_message: cabc.Callable[[list[bytes]], None],
+        frame_count: int,
     ) -> None:
         self.socket = zmq_socket
-        self.take = take
-        self.parts = parts
+        self.on_message = on_message
+        self.frame_count = frame_count
         self.loop = asyncio.get_running_loop()
         self.descriptor = zmq_socket.getsockopt(zmq.FD)
         self.scheduled: asyncio.Handle | None = None
         self.loop.add_reader(self.descriptor, self._read)
-        self._read_soon()
+        self._schedule_read()
 
     @property
     def closed(self) -> bool:
         """Whether the socket is closed."""
         return self.socket.closed
 
-    def send(self, parts: list[bytes]) -> None:
-        """Send a message, or drop it where the peer can't take it."""
+    def send(self, frames: list[bytes]) -> None:
+        """Send a message, or drop it if the send queue is full."""
         if self.closed:
             return
         with contextlib.suppress(zmq.Again, zmq.ZMQError):
-            self.socket.send_multipart(parts, zmq.DONTWAIT)
-        self._read_soon()
+            self.socket.send_multipart(frames, zmq.DONTWAIT)
+        self._schedule_read()
 
     def close(self) -> None:
-        """Stop reading, and drop what is queued.
+        """Stop reading and drop queued messages.
 
-        The second time does nothing: another connection may have got the
-        descriptor's number by then.
+        A second call does nothing, as the descriptor may already belong to
+        another connection.
         """
         if self.closed:
             return
@@ -78,7 +77,7 @@
             self.scheduled.cancel()
         self.socket.close(linger=0)
 
-    def _read_soon(self) -> None:
+    def _schedule_read(self) -> None:
         if self.scheduled is None:
             self.scheduled = self.loop.call_soon(self._read)
 
@@ -86,21 +85,21 @@
         if self.scheduled is not None:
             self.scheduled.cancel()
             self.scheduled = None
-        for _ in range(MESSAGES_IN_A_ROW):
+        for _ in range(MAX_MESSAGES_PER_READ):
             try:
-                parts = self.socket.recv_multipart(zmq.DONTWAIT)
+                frames = self.socket.recv_multipart(zmq.DONTWAIT)
             except zmq.Again:
                 return
-            if len(parts) == self.parts:
-                self.take(parts)
-        self._read_soon()
+            if len(frames) == self.frame_count:
+                self.on_message(frames)
+        self._schedule_read()
 
 
 class ZmqTransport(ports.Transport):
-    """One ROUTER socket for what comes in, one DEALER per peer.
+    """Receives on one ROUTER socket and sends on one DEALER per peer.
 
-    Sockets drop what they can't hold: a peer that is gone must not fill
-    this process's memory, and every message may be lost anyway.
+    Messages beyond a queue's limit are dropped, so that an unreachable peer
+    doesn't exhaust memory. Senders have to expect losses anyway.
     """
 
     def __init__(
@@ -109,13 +108,13 @@
         self.listen = listen
         self.context = context or zmq.Context.instance()
         router = self.context.socket(zmq.ROUTER)
-        _limit(router)
+        _configure(router)
         router.bind(f'tcp://{listen}')
-        self.router = _Channel(router, self._take, 3)
+        self.router = _AsyncSocket(router, self._on_request, 3)
         self.handlers: dict[type, ports.Handler] = {}
-        self.peers: dict[str, _Channel] = {}
+        self.peers: dict[str, _AsyncSocket] = {}
         self.pending: dict[bytes, asyncio.Future[t.Any]] = {}
-        self.numbers = itertools.count(1)
+        self.request_ids = itertools.count(1)
         self.tasks: set[asyncio.Task[None]] = set()
         self.sent_bytes = 0
 
@@ -124,33 +123,33 @@
         self.handlers[kind] = handler
 
     def send(self, address: str, message: messages.Message) -> None:
-        """Send one message, or drop it where the peer can't take it."""
-        self._transmit(address, _ONE_WAY, messages.encode(message))
+        """Send a message, or drop it if the send queue is full."""
+        self._transmit(address, _NO_REPLY, messages.encode(message))
 
     async def request(
         self, address: str, message: messages.Message, timeout: float
     ) -> t.Any:
-        """Send a message and return its reply."""
-        number = next(self.numbers).to_bytes(8)
+        """Send a message and wait for its reply."""
+        request_id = next(self.request_ids).to_bytes(8)
         future: asyncio.Future[t.Any] = (
             asyncio.get_running_loop().create_future()
         )
-        self.pending[number] = future
-        step = type(message).__name__
+        self.pending[request_id] = future
+        operation = type(message).__name__
         try:
-            self._transmit(address, number, messages.encode(message))
+            self._transmit(address, request_id, messages.encode(message))
             async with asyncio.timeout(timeout):
                 reply = await future
         except TimeoutError:
-            raise errors.PeerError('no answer', step, address) from None
+            raise errors.PeerError('no reply', operation, address) from None
         finally:
-            del self.pending[number]
+            del self.pending[request_id]
         if isinstance(reply, messages.Failure):
-            raise errors.PeerError(reply.reason, step, address)
+            raise errors.PeerError(reply.reason, operation, address)
         return reply
 
     async def close(self) -> None:
-        """Stop receiving and drop what is queued; free the address."""
+        """Close all sockets, drop queued messages and release the address."""
         if self.router.closed:
             return
         for task in list(self.tasks):
@@ -160,37 +159,39 @@
             peer.close()
         self.peers.clear()
         self.router.close()
-        await self._release()
+        await self._wait_until_unbound()
 
-    async def _release(self) -> None:
+    async def _wait_until_unbound(self) -> None:
         """Wait until the address can be bound again.
 
-        zmq closes a listener in a thread of its own. A process that begins
-        anew at its address at once would find it in use, and end.
+        ZeroMQ closes listeners in a background thread, so that an immediate
+        restart at the same address could fail.
         """
         host, _, port = self.listen.rpartition(':')
         try:
-            async with asyncio.timeout(RELEASE_S):
+            async with asyncio.timeout(UNBIND_TIMEOUT_S):
                 while not _can_bind(host, int(port)):
-                    await asyncio.sleep(RELEASE_CHECK_S)
+                    await asyncio.sleep(UNBIND_CHECK_INTERVAL_S)
         except TimeoutError:
-            loguru.logger.bind(address=self.listen).warning('address in use')
+            loguru.logger.bind(address=self.listen).warning(
+                'address still in use'
+            )
 
-    def _transmit(self, address: str, number: bytes, data: bytes) -> None:
+    def _transmit(self, address: str, request_id: bytes, data: bytes) -> None:
         peer = self.peers.get(address) or self._connect(address)
-        self.sent_bytes += len(data) + len(number)
-        peer.send([number, data])
+        self.sent_bytes += len(data) + len(request_id)
+        peer.send([request_id, data])
 
-    def _connect(self, address: str) -> _Channel:
+    def _connect(self, address: str) -> _AsyncSocket:
         dealer = self.context.socket(zmq.DEALER)
-        _limit(dealer)
+        _configure(dealer)
         dealer.connect(f'tcp://{address}')
-        self.peers[address] = _Channel(dealer, self._take_reply, 2)
+        self.peers[address] = _AsyncSocket(dealer, self._on_reply, 2)
         return self.peers[address]
 
-    def _take_reply(self, parts: list[bytes]) -> None:
-        number, data = parts
-        future = self.pending.get(number)
+    def _on_reply(self, frames: list[bytes]) -> None:
+        request_id, data = frames
+        future = self.pending.get(request_id)
         if future is None or future.done():
             return
         try:
@@ -198,14 +199,16 @@
         except errors.PeerError as error:
             future.set_exception(error)
 
-    def _take(self, parts: list[bytes]) -> None:
-        peer, number, data = parts
-        work = self._dispatch(peer, number, data)
-        task = asyncio.get_running_loop().create_task(work)
+    def _on_request(self, frames: list[bytes]) -> None:
+        peer, request_id, data = frames
+        coroutine = self._dispatch(peer, request_id, data)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _dispatch(self, peer: bytes, number: bytes, data: bytes) -> None:
+    async def _dispatch(
+        self, peer: bytes, request_id: bytes, data: bytes
+    ) -> None:
         try:
             message = messages.decode(data)
             handler = self.handlers.get(type(message))
@@ -215,10 +218,10 @@
                 reply = await handler(message)
         except errors.BulrushholdError as error:
             reply = messages.Failure(str(error))
-        if number != _ONE_WAY and reply is not None:
+        if request_id != _NO_REPLY and reply is not None:
             encoded = messages.encode(reply)
             self.sent_bytes += len(encoded)
-            self.router.send([peer, number, encoded])
+            self.router.send([peer, request_id, encoded])
 
 
 def _can_bind(host: str, port: int) -> bool:
@@ -231,17 +234,16 @@
         return True
 
 
-def _limit(channel: t.Any) -> None:
-    channel.setsockopt(zmq.LINGER, 0)
-    channel.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
-    channel.setsockopt(zmq.RCVHWM, HIGH_WATER_MARK)
-    channel.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
-    channel.setsockopt(zmq.RECONNECT_IVL, 50)
-    channel.setsockopt(zmq.RECONNECT_IVL_MAX, 250)
-    # A connection may fall silent for good without a reset, while new ones
-    # work. Without probes of its own zmq would keep it for hours, and a
-    # replica would stay out of reach of its leader.
-    channel.setsockopt(zmq.HEARTBEAT_IVL, PROBE_MS)
-    channel.setsockopt(zmq.HEARTBEAT_TIMEOUT, SILENCE_MS)
-    channel.setsockopt(zmq.CONNECT_TIMEOUT, SILENCE_MS)
-    channel.setsockopt(zmq.HANDSHAKE_IVL, SILENCE_MS)
+def _configure(zmq_socket: t.Any) -> None:
+    zmq_socket.setsockopt(zmq.LINGER, 0)
+    zmq_socket.setsockopt(zmq.SNDHWM, MAX_QUEUED_MESSAGES)
+    zmq_socket.setsockopt(zmq.RCVHWM, MAX_QUEUED_MESSAGES)
+    zmq_socket.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
+    zmq_socket.setsockopt(zmq.RECONNECT_IVL, 50)
+    zmq_socket.setsockopt(zmq.RECONNECT_IVL_MAX, 250)
+    # Detect dead connections that were not reset. Without heartbeats ZeroMQ
+    # would keep them for hours.
+    zmq_socket.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_INTERVAL_MS)
+    zmq_socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, CONNECTION_TIMEOUT_MS)
+    zmq_socket.setsockopt(zmq.CONNECT_TIMEOUT, CONNECTION_TIMEOUT_MS)
+    zmq_socket.setsockopt(zmq.HANDSHAKE_IVL, CONNECTION_TIMEOUT_MS)
