--- a/src/bulrushhold/entry/_admission.py
+++ b/src/bulrushhold/entry/_admission.py
@@ -15,16 +15,16 @@
 from bulrushhold import ports
 from bulrushhold import settings
 
-ASK_S: t.Final = 0.5
-IDLE_S: t.Final = 10.0
-SWEEP_S: t.Final = 0.25
-EXPECTED_TOKENS: t.Final = 256.0
-EXPECTED_GAIN: t.Final = 0.1
-PLACES: t.Final = 'engine places'
+LEASE_TIMEOUT_S: t.Final = 0.5
+SHARE_IDLE_S: t.Final = 10.0
+SWEEP_INTERVAL_S: t.Final = 0.25
+DEFAULT_EXPECTED_TOKENS: t.Final = 256.0
+EXPECTED_TOKENS_GAIN: t.Final = 0.1
+ENGINE_QUOTA_WORK: t.Final = 'engine places'
 
 
 @attrs.define(eq=False)
-class Place:
+class Slot:
     """An admitted request's place; given back by :meth:`Admission.leave`.
 
     :param expected: tokens it was charged for beforehand.
@@ -60,30 +60,30 @@
         self.home = decisions.QuotaHome(clock())
         self.shares: dict[str, decisions.QuotaShare] = {}
         self.expected: dict[str, float] = {}
-        self.asking: dict[str, asyncio.Task[None]] = {}
-        self.known_entries: list[str] = []
+        self.lease_requests: dict[str, asyncio.Task[None]] = {}
+        self.entry_names: list[str] = []
         self.engine_slots = 1
         self.places = decisions.QuotaShare(self._places_row(), 1)
-        transport.handle(messages.QuotaAsk, self._on_ask)
+        transport.handle(messages.QuotaAsk, self._on_quota_ask)
 
     def set_capacity(self, engine_slots: int) -> None:
         """Take in how many requests all engines run well at once."""
         names = [entry.name for entry in self.entries()]
-        if names != self.known_entries:
-            self.known_entries = names
+        if names != self.entry_names:
+            self.entry_names = names
             self.home.homes_changed(self.clock())
         self.engine_slots = engine_slots
         self.places.row = self._places_row()
         self.places.entries = max(1, len(names))
         self._pump()
 
-    async def enter(self, row: messages.Row) -> Place:
+    async def enter(self, row: messages.Row) -> Slot:
         """Wait for a place for a generation.
 
         :raises RequestError: at once, where the row's limits or the queue
             can't give one before the deadline; with when to come back.
         """
-        expected = self.expected.get(row.key, EXPECTED_TOKENS)
+        expected = self.expected.get(row.key, DEFAULT_EXPECTED_TOKENS)
         share = self._share(row)
         wait = self.queue.expected_wait(row.key, row.weight)
         if wait > row.deadline_s or self.queue.waiting >= (
@@ -98,21 +98,21 @@
         )
         if delay > row.deadline_s:
             raise self._refusal(row, 'the limits of the row are used', delay)
-        place = Place(
+        slot = Slot(
             row,
             expected,
             True,
             asyncio.get_running_loop().create_future(),
         )
         if not self.places.leased(self.clock()):
-            self._ask_for(self.places)
-        self.queue.push(row.key, row.weight, expected, place)
+            self._request_lease(self.places)
+        self.queue.push(row.key, row.weight, expected, slot)
         share.waiting += 1
         self._pump()
-        await self._await_place(place, share)
-        return place
+        await self._await_slot(slot, share)
+        return slot
 
-    async def enter_call(self, row: messages.Row) -> Place:
+    async def acquire_call(self, row: messages.Row) -> Slot:
         """Take a place for a plain call: limits apply, but no queue.
 
         Look-ups so stay quick beside long generations.
@@ -128,33 +128,35 @@
             )
         share.start(1.0, now)
         done = asyncio.get_running_loop().create_future()
-        return Place(row, 1.0, False, done)
+        return Slot(row, 1.0, False, done)
 
-    def leave(self, place: Place, tokens: int) -> None:
+    def release(self, slot: Slot, tokens: int) -> None:
         """Give a place back, and charge the tokens really used."""
-        self._release(place, tokens)
-        if place.queued:
-            key = place.row.key
-            former = self.expected.get(key, EXPECTED_TOKENS)
-            self.expected[key] = former + EXPECTED_GAIN * (tokens - former)
+        self._release(slot, tokens)
+        if slot.queued:
+            key = slot.row.key
+            previous = self.expected.get(key, DEFAULT_EXPECTED_TOKENS)
+            self.expected[key] = previous + EXPECTED_TOKENS_GAIN * (
+                tokens - previous
+            )
 
-    def _release(self, place: Place, tokens: int) -> None:
+    def _release(self, slot: Slot, tokens: int) -> None:
         now = self.clock()
-        self._share(place.row).finish(place.expected, tokens, now)
-        if place.queued:
-            self.queue.done(place.row.key, place.expected, tokens, now)
+        self._share(slot.row).finish(slot.expected, tokens, now)
+        if slot.queued:
+            self.queue.done(slot.row.key, slot.expected, tokens, now)
             self._pump()
 
     async def sweep(self) -> None:
         """Renew leases in use, and start what has come to be allowed."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now = self.clock()
             self.home.forget(now)
             self._pump()
             for key, share in list(self.shares.items()):
                 busy = share.running or share.waiting
-                if not busy and now - share.used_at > IDLE_S:
+                if not busy and now - share.used_at > SHARE_IDLE_S:
                     del self.shares[key]
                 elif busy:
                     self._renew(share, now)
@@ -163,21 +165,21 @@
 
     def _renew(self, share: decisions.QuotaShare, now: float) -> None:
         if now - share.granted_from > decisions.QUOTA_RENEW_S:
-            self._ask_for(share)
+            self._request_lease(share)
 
-    async def _await_place(
-        self, place: Place, share: decisions.QuotaShare
+    async def _await_slot(
+        self, slot: Slot, share: decisions.QuotaShare
     ) -> None:
-        row = place.row
+        row = slot.row
         try:
             async with asyncio.timeout(row.deadline_s):
-                await place.granted
+                await slot.granted
         except BaseException as error:
-            if place.granted.done() and not place.granted.cancelled():
+            if slot.granted.done() and not slot.granted.cancelled():
                 # Granted in the turn in which the caller left.
-                self._release(place, 0)
+                self._release(slot, 0)
             else:
-                self.queue.remove(row.key, place)
+                self.queue.remove(row.key, slot)
             if isinstance(error, TimeoutError):
                 raise self._refusal(
                     row, 'no place before the deadline', row.deadline_s
@@ -189,7 +191,7 @@
     def _places_row(self) -> messages.Row:
         """Return a row whose limit is what all engines run at once."""
         return messages.Row(
-            '', PLACES, 1.0, 0.0, self.engine_slots, 1.0, 0, True
+            '', ENGINE_QUOTA_WORK, 1.0, 0.0, self.engine_slots, 1.0, 0, True
         )
 
     def _capacity(self, now: float) -> int:
@@ -203,7 +205,7 @@
             return max(1, self.places.slots_now(now))
         return max(1, self.engine_slots // self.places.entries)
 
-    def _claim_to_places(self) -> float:
+    def _weight_in_use(self) -> float:
         """Return the weights in use here, each account's split by entries.
 
         An account large enough for several entries has its callers spread
@@ -211,13 +213,15 @@
         """
         weights = self.accounts()
         total = sum(weights.values()) or 1.0
-        claim = 0.0
+        weight = 0.0
         for share in self.shares.values():
             if share.running or share.waiting:
-                part = weights.get(share.row.account, 0.0) / total
-                ways = decisions.entries_wanted(part, self.places.entries)
-                claim += share.row.weight / ways
-        return max(claim, 0.001)
+                account_share = weights.get(share.row.account, 0.0) / total
+                entry_count = decisions.entries_wanted(
+                    account_share, self.places.entries
+                )
+                weight += share.row.weight / entry_count
+        return max(weight, 0.001)
 
     def _pump(self) -> None:
         """Give places to those whose turn it is."""
@@ -230,13 +234,13 @@
             share = self.shares.get(key)
             return share is None or not share.limited or share.allows(now)
 
-        while (place := self.queue.pop(ready)) is not None:
-            if place.granted.done():
+        while (slot := self.queue.pop(ready)) is not None:
+            if slot.granted.done():
                 # It gave up in the same moment; its place is free again.
-                self.queue.done(place.row.key, place.expected, 0.0, now)
+                self.queue.done(slot.row.key, slot.expected, 0.0, now)
                 continue
-            self._share(place.row).start(place.expected, now)
-            place.granted.set_result(None)
+            self._share(slot.row).start(slot.expected, now)
+            slot.granted.set_result(None)
 
     # Quotas
 
@@ -255,23 +259,29 @@
         leased = self.clock() < share.granted_from + decisions.QUOTA_LEASE_S
         if not share.limited or leased or share.allows(self.clock()):
             if share.limited and not leased:
-                self._ask_for(share)
+                self._request_lease(share)
             return
-        task = self._ask_for(share)
+        task = self._request_lease(share)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(ASK_S):
+            async with asyncio.timeout(LEASE_TIMEOUT_S):
                 await asyncio.shield(task)
 
-    def _ask_for(self, share: decisions.QuotaShare) -> asyncio.Task[None]:
+    def _request_lease(
+        self, share: decisions.QuotaShare
+    ) -> asyncio.Task[None]:
         key = share.row.key
-        task = self.asking.get(key)
+        task = self.lease_requests.get(key)
         if task is None or task.done():
-            task = asyncio.get_running_loop().create_task(self._ask(share))
-            self.asking[key] = task
-            task.add_done_callback(lambda _: self.asking.pop(key, None))
+            task = asyncio.get_running_loop().create_task(
+                self._fetch_lease(share)
+            )
+            self.lease_requests[key] = task
+            task.add_done_callback(
+                lambda _: self.lease_requests.pop(key, None)
+            )
         return task
 
-    async def _ask(self, share: decisions.QuotaShare) -> None:
+    async def _fetch_lease(self, share: decisions.QuotaShare) -> None:
         if not share.limited:
             return
         entries = self.entries()
@@ -280,7 +290,7 @@
             return
         want = max(1.0, float(share.running + share.waiting))
         if share is self.places:
-            want = self._claim_to_places()
+            want = self._weight_in_use()
         ask = messages.QuotaAsk(
             share.row.key,
             self.config.name,
@@ -289,19 +299,23 @@
             share.running_on_lease,
             len(entries),
         )
-        sent = self.clock()
+        sent_at = self.clock()
         try:
             if homes[0].name == self.config.name:
-                grant = await self._on_ask(ask)
+                grant = await self._on_quota_ask(ask)
             else:
-                grant = await self.transport.request(homes[0].peer, ask, ASK_S)
+                grant = await self.transport.request(
+                    homes[0].peer, ask, LEASE_TIMEOUT_S
+                )
         except errors.PeerError:
             self.metrics.count('quota.home_lost')
             return
-        share.take_grant(grant, sent)
+        share.take_grant(grant, sent_at)
         self._pump()
 
-    async def _on_ask(self, ask: messages.QuotaAsk) -> messages.QuotaGrant:
+    async def _on_quota_ask(
+        self, ask: messages.QuotaAsk
+    ) -> messages.QuotaGrant:
         row = self.rows().get(ask.row)
         if ask.row == self.places.row.key:
             row = self.places.row
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -56,11 +56,11 @@
     async def run(self, generation: _generation.Generation) -> None:
         """Bring a generation to its end: whole, or refused."""
         live: dict[int, _attempts.Attempt] = {}
-        place: _admission.Place | None = None
+        slot: _admission.Slot | None = None
         former = len(generation.transcript.tokens)
         try:
             generation.lifecycle.move('queue')
-            place = await self.admission.enter(generation.order.row)
+            slot = await self.admission.enter(generation.order.row)
             await self._run(generation, live)
         except errors.RequestError as error:
             if not generation.lifecycle.ended:
@@ -83,9 +83,9 @@
         finally:
             for attempt in list(live.values()):
                 self._stop(generation, attempt, live)
-            if place is not None:
+            if slot is not None:
                 made = len(generation.transcript.tokens) - former
-                self.admission.leave(place, made)
+                self.admission.release(slot, made)
 
     async def _run(
         self,
--- a/src/bulrushhold/entry/_server.py
+++ b/src/bulrushhold/entry/_server.py
@@ -272,7 +272,7 @@
             content_type=request.content_type,
             timeout_s=row.deadline_s,
         )
-        place = await self.admission.enter_call(row)
+        slot = await self.admission.acquire_call(row)
         self.calls += 1
         try:
             if row.idempotent:
@@ -281,7 +281,7 @@
                 answer = await self._call_once(service, row, call, key)
         finally:
             self.calls -= 1
-            self.admission.leave(place, 1)
+            self.admission.release(slot, 1)
         return web.Response(
             status=answer.status,
             body=answer.body,
--- a/src/bulrushhold/entry/_streams.py
+++ b/src/bulrushhold/entry/_streams.py
@@ -13,7 +13,7 @@
 from bulrushhold import messages
 from bulrushhold import settings
 
-SWEEP_S: t.Final = 0.5
+SWEEP_INTERVAL_S: t.Final = 0.5
 
 
 class Streams:
@@ -97,7 +97,7 @@
     async def sweep(self) -> None:
         """Cancel streams whose caller left; forget old ones."""
         while True:
-            await asyncio.sleep(min(SWEEP_S, self._refresh_s / 2))
+            await asyncio.sleep(min(SWEEP_INTERVAL_S, self._refresh_s / 2))
             now = time.monotonic()
             self.store.expire(now)
             for key, generation in list(self.generations.items()):
