--- a/src/bulrushhold/entry/_attempts.py
+++ b/src/bulrushhold/entry/_attempts.py
@@ -21,16 +21,16 @@
 
     number: int
     state: decisions.BackendState
-    heard_at: float
+    last_event_at: float
     started: bool = False
-    counted: bool = False
+    crash_counted: bool = False
     suspect: bool = False
-    reached: bool = True
-    reserved: int = 0
+    connected: bool = True
+    hedge_tokens: int = 0
     task: asyncio.Task[None] | None = None
 
 
-class SilenceTimer:
+class StallTimer:
     """Wakes a generation's task when its attempts have been silent.
 
     Only then: a task woken for each check would cost a fifth of what the
@@ -47,11 +47,11 @@
         self.generation = generation
         self.live = live
         self.loop = asyncio.get_running_loop()
-        self.until_loss = False
-        newest = self._newest()
-        silence = time.monotonic() - newest.heard_at
+        self.loss_only = False
+        most_recent = self._most_recent()
+        silence = time.monotonic() - most_recent.last_event_at
         # Past the first limit, or with a reserve, only a loss is waited for.
-        self.until_loss = len(live) > 1 or silence >= self._limit(newest)
+        self.loss_only = len(live) > 1 or silence >= self._timeout(most_recent)
         self.handle: asyncio.TimerHandle | None = None
         self._check()
 
@@ -61,19 +61,19 @@
             self.handle.cancel()
 
     def _check(self) -> None:
-        newest = self._newest()
-        silence = time.monotonic() - newest.heard_at
-        left = self._limit(newest) - silence
-        if left <= 0:
+        most_recent = self._most_recent()
+        silence = time.monotonic() - most_recent.last_event_at
+        remaining = self._timeout(most_recent) - silence
+        if remaining <= 0:
             self.generation.attempt_ended.set()
             return
-        self.handle = self.loop.call_later(max(0.01, left), self._check)
+        self.handle = self.loop.call_later(max(0.01, remaining), self._check)
 
-    def _newest(self) -> Attempt:
-        return max(self.live.values(), key=lambda a: a.heard_at)
+    def _most_recent(self) -> Attempt:
+        return max(self.live.values(), key=lambda a: a.last_event_at)
 
-    def _limit(self, attempt: Attempt) -> float:
+    def _timeout(self, attempt: Attempt) -> float:
         gaps = attempt.state.gaps
-        if self.until_loss:
+        if self.loss_only:
             return self.policy.loss_after(gaps, started=attempt.started)
         return self.policy.check_after(gaps, started=attempt.started)
--- a/src/bulrushhold/entry/_callerstream.py
+++ b/src/bulrushhold/entry/_callerstream.py
@@ -77,12 +77,12 @@
 
     def _check_quiet(self) -> None:
         """Wake the task once nothing was sent for a while."""
-        left = KEEP_ALIVE_S - self._quiet_for()
-        if left <= 0:
+        remaining = KEEP_ALIVE_S - self._quiet_for()
+        if remaining <= 0:
             self.wanted.set()
-            left = KEEP_ALIVE_S
+            remaining = KEEP_ALIVE_S
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(max(0.01, left), self._check_quiet)
+        self.timer = loop.call_later(max(0.01, remaining), self._check_quiet)
 
     def _on_more(self) -> None:
         transport = self.transport
--- a/src/bulrushhold/entry/_control.py
+++ b/src/bulrushhold/entry/_control.py
@@ -86,14 +86,14 @@
         end = time.monotonic() + deadline_s
         last: errors.PeerError | None = None
         while True:
-            left = end - time.monotonic()
-            if left <= 0:
+            remaining = end - time.monotonic()
+            if remaining <= 0:
                 raise last or errors.PeerError(
                     'no leader', 'control', self.leader
                 )
             try:
                 reply = await self.transport.request(
-                    self.leader, request, min(try_s, left)
+                    self.leader, request, min(try_s, remaining)
                 )
             except errors.PeerError as error:
                 last = error
@@ -104,7 +104,7 @@
             last = errors.PeerError(reply.status, 'control', self.leader)
             if reply.status == 'not_leader':
                 self._next_leader(reply.leader)
-            await asyncio.sleep(min(PAUSE_S, max(0.0, left)))
+            await asyncio.sleep(min(PAUSE_S, max(0.0, remaining)))
 
     def _next_leader(self, hint: str) -> None:
         if hint and hint != self.leader:
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -19,7 +19,7 @@
 from bulrushhold import settings
 
 RETRY_AFTER_S: t.Final = 2.0
-NO_ENGINE_PAUSE_S: t.Final = 0.1
+NO_ENGINE_RETRY_S: t.Final = 0.1
 QUARANTINE_REASON: t.Final = 'two engines died while they ran this content'
 
 
@@ -50,14 +50,14 @@
         self.running: dict[
             str, list[tuple[_generation.Generation, _attempts.Attempt]]
         ] = {}
-        self.probes: dict[str, asyncio.Task[None]] = {}
+        self.crash_probes: dict[str, asyncio.Task[None]] = {}
         self.background: set[asyncio.Task[None]] = set()
 
     async def run(self, generation: _generation.Generation) -> None:
         """Bring a generation to its end: whole, or refused."""
         live: dict[int, _attempts.Attempt] = {}
         slot: _admission.Slot | None = None
-        former = len(generation.transcript.tokens)
+        initial = len(generation.transcript.tokens)
         try:
             generation.lifecycle.move('queue')
             slot = await self.admission.enter(generation.order.row)
@@ -84,8 +84,8 @@
             for attempt in list(live.values()):
                 self._stop(generation, attempt, live)
             if slot is not None:
-                made = len(generation.transcript.tokens) - former
-                self.admission.release(slot, made)
+                generated = len(generation.transcript.tokens) - initial
+                self.admission.release(slot, generated)
 
     async def _run(
         self,
@@ -99,8 +99,8 @@
             if not live:
                 await self._start(generation, live, started)
                 continue
-            self._drop_losers(generation, live)
-            await self._watch(generation, live)
+            self._stop_losers(generation, live)
+            await self._wait_for_change(generation, live)
         generation.lifecycle.move('finish')
         self.suspects.clear(generation.order.fingerprint)
 
@@ -116,7 +116,7 @@
     ) -> None:
         order = generation.order
         transcript = generation.transcript
-        await self._await_verdict(generation)
+        await self._await_crash_probe(generation)
         if self.quarantine.refused(order.fingerprint):
             raise self._refusal(
                 generation, QUARANTINE_REASON, status=422, retry=None
@@ -146,15 +146,15 @@
             reason=choice.reason,
         )
         if choice.state is None:
-            waited = time.monotonic() - started
+            waited_s = time.monotonic() - started
             recovering = transcript.last_attempt > 0
-            if waited > order.row.deadline_s and not recovering:
+            if waited_s > order.row.deadline_s and not recovering:
                 raise self._refusal(generation, choice.reason)
-            if waited > order.row.deadline_s + 30:
+            if waited_s > order.row.deadline_s + 30:
                 raise self._refusal(generation, choice.reason)
-            if not self._may_come_back(generation):
+            if not self._engine_listed(generation):
                 raise self._refusal(generation, choice.reason)
-            await asyncio.sleep(NO_ENGINE_PAUSE_S)
+            await asyncio.sleep(NO_ENGINE_RETRY_S)
             return
         self._dispatch(generation, live, choice.state)
 
@@ -186,10 +186,10 @@
         )
         # A callback: a task cancelled before its first step runs no line.
         attempt.task.add_done_callback(
-            lambda _: self._leave(generation, attempt)
+            lambda _: self._detach(generation, attempt)
         )
 
-    def _may_come_back(self, generation: _generation.Generation) -> bool:
+    def _engine_listed(self, generation: _generation.Generation) -> bool:
         """Whether an engine of the needed model and version is listed."""
         order = generation.order
         version = generation.transcript.version
@@ -219,23 +219,23 @@
         )
 
         def take(event: ports.Event) -> bool:
-            return self._take(generation, attempt, event)
+            return self._accept_event(generation, attempt, event)
 
         try:
             await self.engines.run(address, engine_order, take)
         except errors.EngineRefusedError as error:
             self._log_loss(generation, attempt, error)
-            self._refused(generation, attempt, error)
+            self._on_engine_refused(generation, attempt, error)
         except errors.EngineLostError as error:
             self._log_loss(generation, attempt, error)
-            attempt.reached = error.step != 'connect'
-            self._lost(generation, attempt)
+            attempt.connected = error.step != 'connect'
+            self._on_engine_lost(generation, attempt)
         finally:
-            self._report(state)
+            self._apply_load_report(state)
             generation.transcript.end_attempt(attempt.number)
             generation.attempt_ended.set()
 
-    def _take(
+    def _accept_event(
         self,
         generation: _generation.Generation,
         attempt: _attempts.Attempt,
@@ -251,25 +251,25 @@
             event.finish,
         )
         if verdict is not decisions.Verdict.ACCEPTED:
-            return self._drop(generation, attempt, verdict)
+            return self._reject_event(generation, attempt, verdict)
         now = time.monotonic()
         if attempt.started:
-            attempt.state.gaps.add(now - attempt.heard_at)
+            attempt.state.gaps.add(now - attempt.last_event_at)
         else:
-            self._first_event(generation, attempt)
-        attempt.heard_at = now
+            self._on_first_event(generation, attempt)
+        attempt.last_event_at = now
         generation.last_token_at = now
         self.policy.budget.delivered += 1
         self.copies.wrote(generation)
         return not event.finish
 
-    def _first_event(
+    def _on_first_event(
         self, generation: _generation.Generation, attempt: _attempts.Attempt
     ) -> None:
         attempt.started = True
-        self.policy.budget.refund(attempt.reserved)
+        self.policy.budget.refund(attempt.hedge_tokens)
         attempt.state.succeeded()
-        self._report(attempt.state)
+        self._apply_load_report(attempt.state)
         if generation.lifecycle.state in ('dispatched', 'recovering'):
             generation.lifecycle.move('stream')
         if generation.last_token_at:
@@ -278,7 +278,7 @@
         # The supervisor learns which contender won.
         generation.attempt_ended.set()
 
-    def _drop(
+    def _reject_event(
         self,
         generation: _generation.Generation,
         attempt: _attempts.Attempt,
@@ -292,7 +292,7 @@
         ).warning('token dropped: {}', verdict.value)
         return verdict is decisions.Verdict.REPEATED
 
-    def _report(self, state: decisions.BackendState) -> None:
+    def _apply_load_report(self, state: decisions.BackendState) -> None:
         report = self.engines.reports.pop(state.server.address, None)
         if report is None:
             return
@@ -300,19 +300,19 @@
         if report.leaving:
             self.router.mark_leaving(state.server.name, time.monotonic())
 
-    def _leave(
+    def _detach(
         self, generation: _generation.Generation, attempt: _attempts.Attempt
     ) -> None:
         state = attempt.state
         state.own -= 1
         state.suspects -= attempt.suspect
-        here = self.running.get(state.server.name, [])
+        affected = self.running.get(state.server.name, [])
         with contextlib.suppress(ValueError):
-            here.remove((generation, attempt))
+            affected.remove((generation, attempt))
 
     # Loss
 
-    def _refused(
+    def _on_engine_refused(
         self,
         generation: _generation.Generation,
         attempt: _attempts.Attempt,
@@ -334,7 +334,7 @@
                 )
             )
 
-    def _lost(
+    def _on_engine_lost(
         self, generation: _generation.Generation, attempt: _attempts.Attempt
     ) -> None:
         state = attempt.state
@@ -342,19 +342,23 @@
         generation.lost_engines.add(state.server.name)
         self.metrics.count('engines.lost')
         name = state.server.name
-        if attempt.counted or not attempt.reached or name in self.probes:
+        if (
+            attempt.crash_counted
+            or not attempt.connected
+            or name in self.crash_probes
+        ):
             return
-        here = list(self.running.get(name, []))
+        affected = list(self.running.get(name, []))
         probe = asyncio.get_running_loop().create_task(
-            self._probe(state, here)
+            self._probe_engine(state, affected)
         )
-        self.probes[name] = probe
-        probe.add_done_callback(lambda _: self.probes.pop(name, None))
+        self.crash_probes[name] = probe
+        probe.add_done_callback(lambda _: self.crash_probes.pop(name, None))
 
-    async def _probe(
+    async def _probe_engine(
         self,
         state: decisions.BackendState,
-        here: list[tuple[_generation.Generation, _attempts.Attempt]],
+        affected: list[tuple[_generation.Generation, _attempts.Attempt]],
     ) -> None:
         """Count a death, where the engine is really gone.
 
@@ -364,24 +368,28 @@
         if await self.engines.alive(state.server.address):
             return
         # Who found the engine dead already can't have killed it.
-        here = [(g, attempt) for g, attempt in here if attempt.reached]
-        for _, attempt in here:
-            attempt.counted = True
-        contents = [g.order.fingerprint for g, _ in here]
+        affected = [
+            (g, attempt) for g, attempt in affected if attempt.connected
+        ]
+        for _, attempt in affected:
+            attempt.crash_counted = True
+        contents = [g.order.fingerprint for g, _ in affected]
         node.log_decision(
             'engine died',
             engine=state.server.name,
             suspects=len(set(contents)),
             reason='connection refused',
         )
-        named = self.suspects.engine_died(contents)
-        for fingerprint in named:
+        quarantined = self.suspects.engine_died(contents)
+        for fingerprint in quarantined:
             self.quarantine.add(fingerprint, QUARANTINE_REASON)
-        others = sorted(set(contents) - set(named))
+        others = sorted(set(contents) - set(quarantined))
         if others:
             self.quarantine.suspect(others)
 
-    async def _await_verdict(self, generation: _generation.Generation) -> None:
+    async def _await_crash_probe(
+        self, generation: _generation.Generation
+    ) -> None:
         """Let a suspect go on only when its engine's fate is known.
 
         Without the wait, a crashing request could reach a third engine
@@ -389,42 +397,42 @@
         """
         if not self.suspects.is_suspect(generation.order.fingerprint):
             return
-        for name in generation.lost_engines & self.probes.keys():
-            probe = self.probes.get(name)
+        for name in generation.lost_engines & self.crash_probes.keys():
+            probe = self.crash_probes.get(name)
             if probe is not None:
                 await asyncio.wait([probe])
 
-    async def _watch(
+    async def _wait_for_change(
         self,
         generation: _generation.Generation,
         live: dict[int, _attempts.Attempt],
     ) -> None:
         """Wait for an attempt's end or for its silence."""
         generation.attempt_ended.clear()
-        self._reap(generation, live)
+        self._remove_ended(generation, live)
         if not live or generation.transcript.finish:
             return
-        timer = _attempts.SilenceTimer(self.policy, generation, live)
+        timer = _attempts.StallTimer(self.policy, generation, live)
         try:
             await generation.attempt_ended.wait()
         finally:
             timer.cancel()
-        self._reap(generation, live)
+        self._remove_ended(generation, live)
         if live and not generation.transcript.finish:
-            await self._judge_silence(generation, live)
+            await self._handle_stall(generation, live)
 
-    async def _judge_silence(
+    async def _handle_stall(
         self,
         generation: _generation.Generation,
         live: dict[int, _attempts.Attempt],
     ) -> None:
-        newest = max(live.values(), key=lambda a: a.heard_at)
+        most_recent = max(live.values(), key=lambda a: a.last_event_at)
         order = generation.order
         cost = order.prompt_tokens + len(generation.transcript.tokens)
         action = self.policy.on_silence(
-            time.monotonic() - newest.heard_at,
-            newest.state.gaps,
-            started=newest.started,
+            time.monotonic() - most_recent.last_event_at,
+            most_recent.state.gaps,
+            started=most_recent.started,
             reserve=len(live) > 1,
             cost=cost,
         )
@@ -433,23 +441,23 @@
         node.log_decision(
             'silence',
             request=generation.key,
-            engine=newest.state.server.name,
+            engine=most_recent.state.server.name,
             action=action.value,
-            silence_s=round(time.monotonic() - newest.heard_at, 3),
+            silence_s=round(time.monotonic() - most_recent.last_event_at, 3),
         )
         if action is decisions.Action.RESERVE:
-            busy = frozenset(a.state.server.name for a in live.values())
-            await self._start(generation, live, time.monotonic(), avoid=busy)
+            in_use = frozenset(a.state.server.name for a in live.values())
+            await self._start(generation, live, time.monotonic(), avoid=in_use)
             for attempt in live.values():
-                if attempt.state.server.name not in busy:
-                    attempt.reserved = cost
+                if attempt.state.server.name not in in_use:
+                    attempt.hedge_tokens = cost
             return
         for attempt in list(live.values()):
             attempt.state.failed(time.monotonic())
             generation.lost_engines.add(attempt.state.server.name)
             self._stop(generation, attempt, live)
 
-    def _drop_losers(
+    def _stop_losers(
         self,
         generation: _generation.Generation,
         live: dict[int, _attempts.Attempt],
@@ -461,7 +469,7 @@
             if attempt.number not in contenders and not ended:
                 self._stop(generation, attempt, live)
 
-    def _reap(
+    def _remove_ended(
         self,
         generation: _generation.Generation,
         live: dict[int, _attempts.Attempt],
@@ -473,7 +481,7 @@
         if recovering and not generation.lifecycle.ended:
             if generation.lifecycle.state != 'recovering':
                 generation.lifecycle.move('lose')
-        self._drop_losers(generation, live)
+        self._stop_losers(generation, live)
 
     def _stop(
         self,
@@ -496,8 +504,8 @@
         )
         self.background.add(work)
         work.add_done_callback(self.background.discard)
-        live_state = generation.lifecycle.state
-        if not live and live_state in ('dispatched', 'streaming'):
+        state = generation.lifecycle.state
+        if not live and state in ('dispatched', 'streaming'):
             if not generation.transcript.finish:
                 generation.lifecycle.move('lose')
 
