--- a/src/bulrushhold/client.py
+++ b/src/bulrushhold/client.py
@@ -92,20 +92,20 @@
             'stream': True,
         }
         headers = {'Bulrushhold-Work': work, 'Idempotency-Key': key}
-        have = 0
+        received = 0
         end = time.monotonic() + self.deadline_s
         skip: set[str] = set()
         while True:
             entry = await self._pick(skip, end)
-            if have:
-                headers['Last-Event-ID'] = str(have - 1)
+            if received:
+                headers['Last-Event-ID'] = str(received - 1)
             try:
                 async for offset, token in self._read(entry, body, headers):
                     if offset is None:
                         return
-                    if offset != have:
-                        raise _lost(f'token {offset} after {have}', entry)
-                    have += 1
+                    if offset != received:
+                        raise _lost(f'token {offset} after {received}', entry)
+                    received += 1
                     # Each token shows that the system is alive.
                     end = time.monotonic() + self.deadline_s
                     yield token
--- a/src/bulrushhold/entry/_attempts.py
+++ b/src/bulrushhold/entry/_attempts.py
@@ -65,7 +65,7 @@
         silence = time.monotonic() - most_recent.last_event_at
         remaining = self._timeout(most_recent) - silence
         if remaining <= 0:
-            self.generation.attempt_ended.set()
+            self.generation.attempt_changed.set()
             return
         self.handle = self.loop.call_later(max(0.01, remaining), self._check)
 
--- a/src/bulrushhold/entry/_callerstream.py
+++ b/src/bulrushhold/entry/_callerstream.py
@@ -30,11 +30,11 @@
         self,
         generation: _generation.Generation,
         response: web.StreamResponse,
-        have: int,
+        received: int,
     ) -> None:
         self.generation = generation
         self.response = response
-        self.sent = have
+        self.sent = received
         self.wanted = asyncio.Event()
         self.sent_at = time.monotonic()
         self.timer: asyncio.TimerHandle | None = None
--- a/src/bulrushhold/entry/_copywriter.py
+++ b/src/bulrushhold/entry/_copywriter.py
@@ -104,8 +104,8 @@
         length = len(generation.transcript.tokens)
         if self.peers and not acked:
             self.metrics.count('copies.none')
-        generation.show(min([length, *acked]))
-        if generation.shown_whole:
+        generation.advance_visible(min([length, *acked]))
+        if generation.fully_visible:
             self.open.pop(generation.key, None)
 
     async def _write(self, peer: _Peer) -> None:
--- a/src/bulrushhold/entry/_generation.py
+++ b/src/bulrushhold/entry/_generation.py
@@ -12,7 +12,7 @@
 
 
 @attrs.frozen
-class Order:
+class GenerationSpec:
     """What the caller asked for, checked.
 
     :param fingerprint: of the content, the same under any key.
@@ -52,9 +52,9 @@
     each copy peer how many it holds.
     """
 
-    def __init__(self, key: str, order: Order, epoch: int) -> None:
+    def __init__(self, key: str, spec: GenerationSpec, epoch: int) -> None:
         self.key = key
-        self.order = order
+        self.spec = spec
         self.epoch = epoch
         self.since = epoch
         self.refresh_at = 0.0
@@ -64,16 +64,16 @@
         self.visible = 0
         self.readers = 0
         self.last_token_at = 0.0
-        self.left_at: float | None = None
-        self.attempt_ended = asyncio.Event()
-        self.lost_engines: set[str] = set()
+        self.abandoned_at: float | None = None
+        self.attempt_changed = asyncio.Event()
+        self.failed_engines: set[str] = set()
         self.acked: dict[str, int] = {}
         self.task: asyncio.Task[None] | None = None
         self.listeners: list[cabc.Callable[[], None]] = []
         self._waiters: list[asyncio.Future[None]] = []
 
     @property
-    def shown_whole(self) -> bool:
+    def fully_visible(self) -> bool:
         """Whether the caller may see the end mark."""
         finished = bool(self.transcript.finish)
         return finished and self.visible == len(self.transcript.tokens)
@@ -81,13 +81,13 @@
     @property
     def ended(self) -> bool:
         """Whether nothing more will be shown."""
-        return self.error is not None or self.shown_whole
+        return self.error is not None or self.fully_visible
 
-    def show(self, length: int) -> None:
+    def advance_visible(self, length: int) -> None:
         """Let readers see the first ``length`` tokens."""
         if length > self.visible or self.transcript.finish:
             self.visible = max(self.visible, length)
-            self.wake()
+            self.notify()
 
     def fence(self, peer: str) -> None:
         """Stop: another entry serves this key with a higher epoch."""
@@ -106,10 +106,10 @@
     def fail(self, error: errors.RequestError) -> None:
         """End with an honest refusal."""
         self.error = error
-        self.attempt_ended.set()
-        self.wake()
+        self.attempt_changed.set()
+        self.notify()
 
-    def wake(self) -> None:
+    def notify(self) -> None:
         """Tell the readers that there is more, or the end."""
         for listener in self.listeners:
             listener()
--- a/src/bulrushhold/entry/_keys.py
+++ b/src/bulrushhold/entry/_keys.py
@@ -60,7 +60,7 @@
         """Return an epoch that no other entry uses: time, then name."""
         return (int(time.time() * 1000) << 16) | self.tie
 
-    async def take(self, key: str, fingerprint: str, have: int) -> Taken:
+    async def take(self, key: str, fingerprint: str, received: int) -> Taken:
         """Become the one entry that serves a key.
 
         :param have: tokens that the caller has.
@@ -87,9 +87,9 @@
                 continue
             copy = await self._take_copies(key, epoch, found)
             known = len(copy.tokens) if copy else 0
-            if have and (have > known or not found.sure):
+            if received and (received > known or not found.sure):
                 raise errors.RequestError(
-                    f'the answer is not known up to token {have}; ask '
+                    f'the answer is not known up to token {received}; ask '
                     'anew, under a new key',
                     'resume',
                     ran=errors.Ran.UNKNOWN,
--- a/src/bulrushhold/entry/_operators.py
+++ b/src/bulrushhold/entry/_operators.py
@@ -43,9 +43,13 @@
         given = request.headers.get('Authorization', '')
         wanted = f'Bearer {self.key}'
         if not self.key:
-            raise _requests.bad('no operator key is set at this entry', 403)
+            raise _requests.bad_request(
+                'no operator key is set at this entry', 403
+            )
         if not hmac.compare_digest(given.encode(), wanted.encode()):
-            raise _requests.bad('the operator key is wrong or missing', 403)
+            raise _requests.bad_request(
+                'the operator key is wrong or missing', 403
+            )
 
     async def _pull(self, request: web.Request) -> web.Response:
         self._check_operator(request)
@@ -62,12 +66,16 @@
         self._check_operator(request)
         edit_id = request.query.get('edit', '')
         if not edit_id or len(edit_id) > _requests.MAX_KEY_LENGTH:
-            raise _requests.bad('parameter edit is missing or too long')
+            raise _requests.bad_request(
+                'parameter edit is missing or too long'
+            )
         try:
             text = (await request.read()).decode('utf-8')
             rows, base = decisions.read_csv(text)
         except UnicodeDecodeError:
-            raise _requests.bad('the table is not UTF-8 text') from None
+            raise _requests.bad_request(
+                'the table is not UTF-8 text'
+            ) from None
         except ExceptionGroup as group:
             cells = [str(error) for error in group.exceptions]
             return web.Response(
--- a/src/bulrushhold/entry/_requests.py
+++ b/src/bulrushhold/entry/_requests.py
@@ -42,7 +42,7 @@
 _BODIES = msgspec.json.Decoder(ChatBody)
 
 
-def bad(reason: str, status: int = 400) -> errors.RequestError:
+def bad_request(reason: str, status: int = 400) -> errors.RequestError:
     """Return the refusal of a request that was not understood."""
     return errors.RequestError(reason, 'request', status=status)
 
@@ -55,7 +55,7 @@
     try:
         return _BODIES.decode(body)
     except (msgspec.DecodeError, ValueError) as error:
-        raise bad(' '.join(str(error).split())) from error
+        raise bad_request(' '.join(str(error).split())) from error
 
 
 def find_row(
@@ -71,19 +71,21 @@
     """
     account = headers.get(ACCOUNT_HEADER, '')
     if not account:
-        raise bad(f'header {ACCOUNT_HEADER} is missing', 401)
+        raise bad_request(f'header {ACCOUNT_HEADER} is missing', 401)
     if account not in accounts:
-        raise bad(f'unknown account {account!r}', 403)
+        raise bad_request(f'unknown account {account!r}', 403)
     row = rows.get(f'{account}/{work}')
     if row is None:
-        raise bad(f'account {account!r} has no row for work {work!r}', 403)
+        raise bad_request(
+            f'account {account!r} has no row for work {work!r}', 403
+        )
     return row
 
 
-def order_of(chat: ChatBody, row: messages.Row) -> _generation.Order:
+def make_spec(chat: ChatBody, row: messages.Row) -> _generation.GenerationSpec:
     """Return the order for a generation, with its fingerprint."""
     content = msgspec.json.encode((chat.model, chat.messages, chat.max_tokens))
-    return _generation.Order(
+    return _generation.GenerationSpec(
         row.account,
         row.work,
         chat.model,
@@ -101,7 +103,9 @@
     """
     key = headers.get(KEY_HEADER, '')
     if len(key) > MAX_KEY_LENGTH or not (key.isprintable() and key.isascii()):
-        raise bad(f'header {KEY_HEADER} must be printable, 128 at most')
+        raise bad_request(
+            f'header {KEY_HEADER} must be printable, 128 at most'
+        )
     return key
 
 
@@ -114,7 +118,7 @@
     if not text:
         return 0
     if not (text.isascii() and text.isdigit()) or len(text) > 9:
-        raise bad(f'header {RESUME_HEADER} must be a token offset')
+        raise bad_request(f'header {RESUME_HEADER} must be a token offset')
     return int(text) + 1
 
 
@@ -131,7 +135,7 @@
     except ValueError:
         parsed = None
     if parsed is None or parsed.version != 7:
-        raise bad(
+        raise bad_request(
             f'header {KEY_HEADER} must be a UUIDv7 for a call that may not '
             'be repeated'
         )
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -60,7 +60,7 @@
         initial = len(generation.transcript.tokens)
         try:
             generation.lifecycle.move('queue')
-            slot = await self.admission.enter(generation.order.row)
+            slot = await self.admission.enter(generation.spec.row)
             await self._run(generation, live)
         except errors.RequestError as error:
             if not generation.lifecycle.ended:
@@ -102,7 +102,7 @@
             self._stop_losers(generation, live)
             await self._wait_for_change(generation, live)
         generation.lifecycle.move('finish')
-        self.suspects.clear(generation.order.fingerprint)
+        self.suspects.clear(generation.spec.fingerprint)
 
     # Dispatch
 
@@ -114,31 +114,31 @@
         *,
         avoid: frozenset[str] = frozenset(),
     ) -> None:
-        order = generation.order
+        spec = generation.spec
         transcript = generation.transcript
         await self._await_crash_probe(generation)
-        if self.quarantine.refused(order.fingerprint):
+        if self.quarantine.refused(spec.fingerprint):
             raise self._refusal(
                 generation, QUARANTINE_REASON, status=422, retry=None
             )
         if transcript.last_attempt >= self.config.max_attempts:
             raise self._refusal(generation, 'too many engines were lost')
-        if not self.retries.allows(order.account, transcript.last_attempt):
+        if not self.retries.allows(spec.account, transcript.last_attempt):
             raise self._refusal(
                 generation, 'the retry budget of the account is spent'
             )
         choice = self.router.choose_engine(
-            order.model,
-            order.affinity,
+            spec.model,
+            spec.affinity,
             time.monotonic(),
             version=transcript.version if transcript.tokens else '',
-            avoid=generation.lost_engines | avoid,
-            suspect=self.suspects.is_suspect(order.fingerprint),
+            avoid=generation.failed_engines | avoid,
+            suspect=self.suspects.is_suspect(spec.fingerprint),
         )
         node.log_decision(
             'route',
             request=generation.key,
-            account=order.account,
+            account=spec.account,
             attempt=transcript.last_attempt + 1,
             offset=len(transcript.tokens),
             candidates=choice.candidates,
@@ -148,9 +148,9 @@
         if choice.state is None:
             waited_s = time.monotonic() - started
             recovering = transcript.last_attempt > 0
-            if waited_s > order.row.deadline_s and not recovering:
+            if waited_s > spec.row.deadline_s and not recovering:
                 raise self._refusal(generation, choice.reason)
-            if waited_s > order.row.deadline_s + 30:
+            if waited_s > spec.row.deadline_s + 30:
                 raise self._refusal(generation, choice.reason)
             if not self._engine_listed(generation):
                 raise self._refusal(generation, choice.reason)
@@ -165,9 +165,9 @@
         state: decisions.BackendState,
     ) -> None:
         transcript = generation.transcript
-        version = state.server.models[generation.order.model]
+        version = state.server.models[generation.spec.model]
         number = transcript.start_attempt(version)
-        suspect = self.suspects.is_suspect(generation.order.fingerprint)
+        suspect = self.suspects.is_suspect(generation.spec.fingerprint)
         attempt = _attempts.Attempt(
             number, state, time.monotonic(), suspect=suspect
         )
@@ -179,7 +179,7 @@
         )
         if generation.lifecycle.state != 'streaming':
             generation.lifecycle.move('dispatch')
-        self.retries.count(generation.order.account, number)
+        self.retries.count(generation.spec.account, number)
         self.metrics.count('attempts')
         attempt.task = asyncio.get_running_loop().create_task(
             self._read(generation, attempt)
@@ -191,11 +191,11 @@
 
     def _engine_listed(self, generation: _generation.Generation) -> bool:
         """Whether an engine of the needed model and version is listed."""
-        order = generation.order
+        spec = generation.spec
         version = generation.transcript.version
         return any(
-            order.model in state.server.models
-            and version in ('', state.server.models[order.model])
+            spec.model in state.server.models
+            and version in ('', state.server.models[spec.model])
             for state in self.router.states.values()
         )
 
@@ -204,25 +204,25 @@
     async def _read(
         self, generation: _generation.Generation, attempt: _attempts.Attempt
     ) -> None:
-        order = generation.order
+        spec = generation.spec
         state = attempt.state
         address = state.server.address
-        engine_order = ports.Generate(
+        engine_request = ports.Generate(
             generation.key,
             attempt.number,
-            order.model,
-            order.messages,
+            spec.model,
+            spec.messages,
             list(generation.transcript.tokens),
-            order.max_tokens,
-            order.row.priority,
-            order.row.deadline_s,
+            spec.max_tokens,
+            spec.row.priority,
+            spec.row.deadline_s,
         )
 
         def take(event: ports.Event) -> bool:
             return self._accept_event(generation, attempt, event)
 
         try:
-            await self.engines.run(address, engine_order, take)
+            await self.engines.run(address, engine_request, take)
         except errors.EngineRefusedError as error:
             self._log_loss(generation, attempt, error)
             self._on_engine_refused(generation, attempt, error)
@@ -233,7 +233,7 @@
         finally:
             self._apply_load_report(state)
             generation.transcript.end_attempt(attempt.number)
-            generation.attempt_ended.set()
+            generation.attempt_changed.set()
 
     def _accept_event(
         self,
@@ -276,7 +276,7 @@
             gap = time.monotonic() - generation.last_token_at
             self.metrics.time('resume', gap)
         # The supervisor learns which contender won.
-        generation.attempt_ended.set()
+        generation.attempt_changed.set()
 
     def _reject_event(
         self,
@@ -319,7 +319,7 @@
         error: errors.EngineRefusedError,
     ) -> None:
         attempt.state.failed(time.monotonic())
-        generation.lost_engines.add(attempt.state.server.name)
+        generation.failed_engines.add(attempt.state.server.name)
         if error.final and not generation.lifecycle.ended:
             # Another engine would find the same fault in the request.
             attempt.state.succeeded()
@@ -339,7 +339,7 @@
     ) -> None:
         state = attempt.state
         state.failed(time.monotonic())
-        generation.lost_engines.add(state.server.name)
+        generation.failed_engines.add(state.server.name)
         self.metrics.count('engines.lost')
         name = state.server.name
         if (
@@ -373,7 +373,7 @@
         ]
         for _, attempt in affected:
             attempt.crash_counted = True
-        contents = [g.order.fingerprint for g, _ in affected]
+        contents = [g.spec.fingerprint for g, _ in affected]
         node.log_decision(
             'engine died',
             engine=state.server.name,
@@ -395,9 +395,9 @@
         Without the wait, a crashing request could reach a third engine
         before the second death has named it.
         """
-        if not self.suspects.is_suspect(generation.order.fingerprint):
+        if not self.suspects.is_suspect(generation.spec.fingerprint):
             return
-        for name in generation.lost_engines & self.crash_probes.keys():
+        for name in generation.failed_engines & self.crash_probes.keys():
             probe = self.crash_probes.get(name)
             if probe is not None:
                 await asyncio.wait([probe])
@@ -408,13 +408,13 @@
         live: dict[int, _attempts.Attempt],
     ) -> None:
         """Wait for an attempt's end or for its silence."""
-        generation.attempt_ended.clear()
+        generation.attempt_changed.clear()
         self._remove_ended(generation, live)
         if not live or generation.transcript.finish:
             return
         timer = _attempts.StallTimer(self.policy, generation, live)
         try:
-            await generation.attempt_ended.wait()
+            await generation.attempt_changed.wait()
         finally:
             timer.cancel()
         self._remove_ended(generation, live)
@@ -427,8 +427,8 @@
         live: dict[int, _attempts.Attempt],
     ) -> None:
         most_recent = max(live.values(), key=lambda a: a.last_event_at)
-        order = generation.order
-        cost = order.prompt_tokens + len(generation.transcript.tokens)
+        spec = generation.spec
+        cost = spec.prompt_tokens + len(generation.transcript.tokens)
         action = self.policy.on_silence(
             time.monotonic() - most_recent.last_event_at,
             most_recent.state.gaps,
@@ -454,7 +454,7 @@
             return
         for attempt in list(live.values()):
             attempt.state.failed(time.monotonic())
-            generation.lost_engines.add(attempt.state.server.name)
+            generation.failed_engines.add(attempt.state.server.name)
             self._stop(generation, attempt, live)
 
     def _stop_losers(
--- a/src/bulrushhold/entry/_server.py
+++ b/src/bulrushhold/entry/_server.py
@@ -97,10 +97,12 @@
         except web.HTTPRequestEntityTooLarge:
             limit = self.config.max_body_bytes
             return self._error(
-                _requests.bad(f'the body exceeds {limit} bytes', 413)
+                _requests.bad_request(f'the body exceeds {limit} bytes', 413)
             )
         except web.HTTPException as error:
-            return self._error(_requests.bad(error.reason, error.status))
+            return self._error(
+                _requests.bad_request(error.reason, error.status)
+            )
         except ConnectionResetError:
             raise
         except Exception:
@@ -160,7 +162,7 @@
 
     async def _chat(self, request: web.Request) -> web.StreamResponse:
         key = _requests.read_key(request.headers)
-        have = _requests.read_resume(request.headers)
+        received = _requests.read_resume(request.headers)
         chat = _requests.read_chat(await request.read())
         account = request.headers.get(_requests.ACCOUNT_HEADER, '')
         if f'{account}/{key}' not in self.streams.generations:
@@ -170,10 +172,10 @@
             _requests.WORK_HEADER, _requests.DEFAULT_WORK
         )
         row = self._row(request, work)
-        order = _requests.order_of(chat, row)
+        spec = _requests.make_spec(chat, row)
         if not self.view.serves(chat.model):
-            raise _requests.bad(f'unknown model {chat.model!r}', 404)
-        if order.fingerprint in self.table.quarantined:
+            raise _requests.bad_request(f'unknown model {chat.model!r}', 404)
+        if spec.fingerprint in self.table.quarantined:
             raise errors.RequestError(
                 'this content is quarantined: it killed two engines',
                 'quarantine',
@@ -182,13 +184,13 @@
         ours = not key
         key = key or str(uuid_utils.uuid7())
         generation = await self.streams.open(
-            f'{row.account}/{key}', order, have, ours=ours
+            f'{row.account}/{key}', spec, received, ours=ours
         )
         self.metrics.count('generations')
         generation.readers += 1
         try:
             if chat.stream:
-                return await self._stream(request, generation, key, have)
+                return await self._stream(request, generation, key, received)
             return await self._whole(generation, key)
         finally:
             generation.readers -= 1
@@ -203,7 +205,7 @@
         transcript = generation.transcript
         body = {
             'id': key,
-            'model': generation.order.model,
+            'model': generation.spec.model,
             'choices': [
                 {
                     'index': 0,
@@ -227,10 +229,10 @@
         request: web.Request,
         generation: _generation.Generation,
         key: str,
-        have: int,
+        received: int,
     ) -> web.StreamResponse:
-        await self._await_first(generation, have)
-        if generation.error is not None and generation.visible <= have:
+        await self._await_first(generation, received)
+        if generation.error is not None and generation.visible <= received:
             # Before the first byte, a refusal can still be an HTTP status.
             raise generation.error
         response = web.StreamResponse(
@@ -241,18 +243,18 @@
             }
         )
         await response.prepare(request)
-        stream = _callerstream.CallerStream(generation, response, have)
+        stream = _callerstream.CallerStream(generation, response, received)
         await stream.run(request.transport)
         return response
 
     async def _await_first(
-        self, generation: _generation.Generation, have: int
+        self, generation: _generation.Generation, received: int
     ) -> None:
         """Wait for the first token, or as long as headers may be late."""
 
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(HEADERS_WITHIN_S):
-                while generation.visible <= have and not generation.ended:
+                while generation.visible <= received and not generation.ended:
                     await generation.wait()
 
     # Plain services
@@ -296,7 +298,7 @@
         key: str,
     ) -> ports.ServiceAnswer:
         if not key:
-            raise _requests.bad(
+            raise _requests.bad_request(
                 f'header {_requests.KEY_HEADER} is needed: this call may '
                 'not be repeated'
             )
@@ -311,7 +313,7 @@
     async def _entries(self, request: web.Request) -> web.Response:
         account = request.query.get('account', '')
         if not account:
-            raise _requests.bad('parameter account is missing')
+            raise _requests.bad_request('parameter account is missing')
         near = request.query.get('data_centre', '')
         weights = self.table.accounts
         share = weights.get(account, 0.0) / (sum(weights.values()) or 1.0)
--- a/src/bulrushhold/entry/_services.py
+++ b/src/bulrushhold/entry/_services.py
@@ -267,5 +267,7 @@
 def _checked_time(key: str) -> float:
     at = _requests.key_time(key)
     if at > time.time() + MAX_KEY_AHEAD_S:
-        raise _requests.bad('the idempotency key is dated in the future')
+        raise _requests.bad_request(
+            'the idempotency key is dated in the future'
+        )
     return at
--- a/src/bulrushhold/entry/_streams.py
+++ b/src/bulrushhold/entry/_streams.py
@@ -36,7 +36,12 @@
         self.opening: dict[str, asyncio.Lock] = {}
 
     async def open(
-        self, key: str, order: _generation.Order, have: int, *, ours: bool
+        self,
+        key: str,
+        spec: _generation.GenerationSpec,
+        received: int,
+        *,
+        ours: bool,
     ) -> _generation.Generation:
         """Return the generation of a key, started or continued.
 
@@ -48,18 +53,18 @@
         async with lock:
             generation = self.generations.get(key)
             if generation is None or await self._superseded(generation):
-                generation = await self._start(key, order, have, ours=ours)
+                generation = await self._start(key, spec, received, ours=ours)
         if not lock.locked():
             self.opening.pop(key, None)
-        if generation.order.fingerprint != order.fingerprint:
+        if generation.spec.fingerprint != spec.fingerprint:
             raise errors.RequestError(
                 'the idempotency key was used for another request',
                 'key',
                 status=422,
             )
-        if have > len(generation.transcript.tokens):
+        if received > len(generation.transcript.tokens):
             raise errors.RequestError(
-                f'the answer is not known up to token {have}; ask anew, '
+                f'the answer is not known up to token {received}; ask anew, '
                 'under a new key',
                 'resume',
                 ran=errors.Ran.YES,
@@ -82,7 +87,7 @@
     def refuse_quarantined(self, quarantined: frozenset[str]) -> None:
         """End the generations whose content is quarantined by now."""
         for generation in self.generations.values():
-            refused = generation.order.fingerprint in quarantined
+            refused = generation.spec.fingerprint in quarantined
             if refused and not generation.lifecycle.ended:
                 generation.lifecycle.move('refuse')
                 generation.fail(
@@ -116,14 +121,14 @@
                 key,
                 generation.epoch,
                 generation.since,
-                generation.order.fingerprint,
+                generation.spec.fingerprint,
             )
         if generation.readers:
-            generation.left_at = None
+            generation.abandoned_at = None
             return
-        if generation.left_at is None:
-            generation.left_at = now
-        left = now - generation.left_at
+        if generation.abandoned_at is None:
+            generation.abandoned_at = now
+        left = now - generation.abandoned_at
         if generation.ended and left > self.config.copies.keep_s:
             del self.generations[key]
         elif not generation.ended and left > self.config.recovery.orphan_s:
@@ -142,24 +147,29 @@
         if state == 'refused' and not generation.transcript.tokens:
             return True
         ours = await self.keys.still_ours(
-            generation.key, generation.epoch, generation.order.fingerprint
+            generation.key, generation.epoch, generation.spec.fingerprint
         )
         if not ours:
             generation.fence('a pointer home')
         return not ours
 
     async def _start(
-        self, key: str, order: _generation.Order, have: int, *, ours: bool
+        self,
+        key: str,
+        spec: _generation.GenerationSpec,
+        received: int,
+        *,
+        ours: bool,
     ) -> _generation.Generation:
         if ours:
             # Register without waiting: the caller learns the key with the
             # first bytes of the answer, not before.
             epoch = self.keys.fresh_epoch()
-            self.keys.refresh(key, epoch, epoch, order.fingerprint)
+            self.keys.refresh(key, epoch, epoch, spec.fingerprint)
             taken = _keys.Taken(epoch, epoch, None)
         else:
-            taken = await self.keys.take(key, order.fingerprint, have)
-        generation = _generation.Generation(key, order, taken.epoch)
+            taken = await self.keys.take(key, spec.fingerprint, received)
+        generation = _generation.Generation(key, spec, taken.epoch)
         generation.since = taken.since
         generation.refresh_at = time.monotonic() + self._refresh_s
         if taken.former is not None:
@@ -184,4 +194,4 @@
     transcript.finish = former.finish
     # What a former entry wrote to its copies may have been shown: it is
     # settled, and shown again without waiting.
-    generation.show(len(transcript.tokens))
+    generation.advance_visible(len(transcript.tokens))
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -295,7 +295,7 @@
     system = await make_system(entries=3, engines=4)
     prompt = [{'role': 'user', 'content': 'CRASH please'}]
     chat = _requests.ChatBody('small', prompt, max_tokens=40)
-    content = _requests.order_of(chat, conftest.row()).fingerprint
+    content = _requests.make_spec(chat, conftest.row()).fingerprint
     first = system.entries['e1']
     await system.engines['m1'].crash()
     await first.control.propose(messages.Suspected([content]), 5)
