--- a/src/bulrushhold/client.py
+++ b/src/bulrushhold/client.py
@@ -18,7 +18,7 @@
 from bulrushhold import errors
 
 ASK_S: t.Final = 2.0
-PAUSE_S: t.Final = 0.2
+RETRY_DELAY_S: t.Final = 0.2
 IDLE_S: t.Final = 1.5
 _BROKEN: t.Final = (
     aiohttp.ClientError,
@@ -118,7 +118,7 @@
                 if not _try_elsewhere(error) or time.monotonic() > end:
                     raise
                 skip = {entry}
-                await asyncio.sleep(min(PAUSE_S, error.retry_after or 0))
+                await asyncio.sleep(min(RETRY_DELAY_S, error.retry_after or 0))
 
     async def call(
         self,
@@ -164,7 +164,7 @@
                         str(error), 'call', entry, ran=errors.Ran.UNKNOWN
                     ) from error
             skip = {entry}
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
     async def _read(
         self, entry: str, body: dict[str, t.Any], headers: dict[str, str]
@@ -214,7 +214,7 @@
                 raise errors.RequestError(
                     'no entry could be reached', 'client', retry_after=1.0
                 )
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
     async def _refresh(self, skip: set[str]) -> None:
         params = {
--- a/src/bulrushhold/entry/_callerstream.py
+++ b/src/bulrushhold/entry/_callerstream.py
@@ -9,7 +9,7 @@
 
 from bulrushhold.entry import _generation
 
-KEEP_ALIVE_S: t.Final = 0.5
+KEEP_ALIVE_INTERVAL_S: t.Final = 0.5
 _KEEP_ALIVE: t.Final = b': quiet\n\n'
 _DONE: t.Final = b'data: [DONE]\n\n'
 _encode = msgspec.json.encode
@@ -35,7 +35,7 @@
         self.generation = generation
         self.response = response
         self.sent = received
-        self.wanted = asyncio.Event()
+        self.wakeup = asyncio.Event()
         self.sent_at = time.monotonic()
         self.timer: asyncio.TimerHandle | None = None
         self.transport: asyncio.Transport | None = None
@@ -46,18 +46,18 @@
         :raises ConnectionResetError: where the caller has left.
         """
         self.transport = transport
-        self.generation.listeners.append(self._on_more)
-        self._check_quiet()
+        self.generation.listeners.append(self._on_progress)
+        self._check_keep_alive()
         try:
             while not self.generation.ended:
-                await self._catch_up()
+                await self._flush()
                 await self._wait()
-            await self._catch_up()
+            await self._flush()
         finally:
             if self.timer is not None:
                 self.timer.cancel()
-            self.generation.listeners.remove(self._on_more)
-        await self.response.write(_end(self.generation))
+            self.generation.listeners.remove(self._on_progress)
+        await self.response.write(_final_events(self.generation))
         await self.response.write_eof()
 
     async def _wait(self) -> None:
@@ -66,25 +66,30 @@
         Without the comment lines a caller couldn't tell a frozen entry
         from an engine that takes its time.
         """
-        await self.wanted.wait()
-        self.wanted.clear()
-        if self._quiet_for() >= KEEP_ALIVE_S and not self.generation.ended:
+        await self.wakeup.wait()
+        self.wakeup.clear()
+        if (
+            self._idle_s() >= KEEP_ALIVE_INTERVAL_S
+            and not self.generation.ended
+        ):
             self.sent_at = time.monotonic()
             await self.response.write(_KEEP_ALIVE)
 
-    def _quiet_for(self) -> float:
+    def _idle_s(self) -> float:
         return time.monotonic() - self.sent_at
 
-    def _check_quiet(self) -> None:
+    def _check_keep_alive(self) -> None:
         """Wake the task once nothing was sent for a while."""
-        remaining = KEEP_ALIVE_S - self._quiet_for()
+        remaining = KEEP_ALIVE_INTERVAL_S - self._idle_s()
         if remaining <= 0:
-            self.wanted.set()
-            remaining = KEEP_ALIVE_S
+            self.wakeup.set()
+            remaining = KEEP_ALIVE_INTERVAL_S
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(max(0.01, remaining), self._check_quiet)
+        self.timer = loop.call_later(
+            max(0.01, remaining), self._check_keep_alive
+        )
 
-    def _on_more(self) -> None:
+    def _on_progress(self) -> None:
         transport = self.transport
         if (
             transport is None
@@ -92,9 +97,9 @@
             or transport.get_write_buffer_size()
             or self.generation.ended
         ):
-            self.wanted.set()
+            self.wakeup.set()
             return
-        data = self._take()
+        data = self._take_events()
         if not data:
             return
         try:
@@ -103,13 +108,13 @@
         except StopIteration:
             return
         except ConnectionError:
-            self.wanted.set()
+            self.wakeup.set()
 
-    async def _catch_up(self) -> None:
-        while data := self._take():
+    async def _flush(self) -> None:
+        while data := self._take_events():
             await self.response.write(data)
 
-    def _take(self) -> bytes:
+    def _take_events(self) -> bytes:
         """Return events for what is visible and not yet sent."""
         start, self.sent = self.sent, max(self.sent, self.generation.visible)
         self.sent_at = time.monotonic()
@@ -118,17 +123,17 @@
 
 def _events(tokens: list[str], start: int, stop: int) -> bytes:
     """Return server-sent events for tokens; the id is the offset."""
-    parts = []
+    events = []
     for offset in range(start, stop):
         delta = _encode(tokens[offset])
-        parts.append(
+        events.append(
             b'id: %d\ndata: {"choices":[{"index":0,"delta":{"content":%b}}]}'
             b'\n\n' % (offset, delta)
         )
-    return b''.join(parts)
+    return b''.join(events)
 
 
-def _end(generation: _generation.Generation) -> bytes:
+def _final_events(generation: _generation.Generation) -> bytes:
     """Return the end mark, or the event of an honest refusal."""
     if generation.error is not None:
         return b'event: error\ndata: %b\n\n' % _encode(generation.error.body())
--- a/src/bulrushhold/entry/_control.py
+++ b/src/bulrushhold/entry/_control.py
@@ -13,9 +13,9 @@
 from bulrushhold import ports
 from bulrushhold import settings
 
-TRY_S: t.Final = 1.0
-PROPOSAL_TRY_S: t.Final = 3.5
-PAUSE_S: t.Final = 0.1
+READ_TIMEOUT_S: t.Final = 1.0
+PROPOSAL_TIMEOUT_S: t.Final = 3.5
+RETRY_DELAY_S: t.Final = 0.1
 
 
 class ControlClient:
@@ -42,7 +42,7 @@
             command may yet be committed.
         """
         proposal = messages.Proposal(messages.encode(command))
-        reply = await self._ask(proposal, PROPOSAL_TRY_S, deadline_s)
+        reply = await self._request(proposal, PROPOSAL_TIMEOUT_S, deadline_s)
         if not reply.result:
             return None
         result = messages.decode(reply.result)
@@ -57,54 +57,54 @@
 
         :raises PeerError: where no leader answered in time.
         """
-        return await self._ask(request, TRY_S, deadline_s)
+        return await self._request(request, READ_TIMEOUT_S, deadline_s)
 
     async def read_status(self) -> dict[str, t.Any]:
         """Return the status of the leader, or of whoever answers.
 
         :raises PeerError: where no control instance answered.
         """
-        last: errors.PeerError | None = None
+        last_error: errors.PeerError | None = None
         status: messages.StatusReply | None = None
         for address in [self.leader, *self.addresses]:
             try:
                 status = await self.transport.request(
-                    address, messages.StatusRead(), TRY_S / 2
+                    address, messages.StatusRead(), READ_TIMEOUT_S / 2
                 )
             except errors.PeerError as error:
-                last = error
+                last_error = error
                 continue
             if status.role == 'leader':
                 break
         if status is None:
-            raise last or errors.PeerError('no control', 'status')
+            raise last_error or errors.PeerError('no control', 'status')
         return attrs.asdict(status)
 
-    async def _ask(
-        self, request: messages.Message, try_s: float, deadline_s: float
+    async def _request(
+        self, request: messages.Message, timeout_s: float, deadline_s: float
     ) -> t.Any:
         end = time.monotonic() + deadline_s
-        last: errors.PeerError | None = None
+        last_error: errors.PeerError | None = None
         while True:
             remaining = end - time.monotonic()
             if remaining <= 0:
-                raise last or errors.PeerError(
+                raise last_error or errors.PeerError(
                     'no leader', 'control', self.leader
                 )
             try:
                 reply = await self.transport.request(
-                    self.leader, request, min(try_s, remaining)
+                    self.leader, request, min(timeout_s, remaining)
                 )
             except errors.PeerError as error:
-                last = error
+                last_error = error
                 self._next_leader('')
                 continue
             if reply.status == 'done':
                 return reply
-            last = errors.PeerError(reply.status, 'control', self.leader)
+            last_error = errors.PeerError(reply.status, 'control', self.leader)
             if reply.status == 'not_leader':
                 self._next_leader(reply.leader)
-            await asyncio.sleep(min(PAUSE_S, max(0.0, remaining)))
+            await asyncio.sleep(min(RETRY_DELAY_S, max(0.0, remaining)))
 
     def _next_leader(self, hint: str) -> None:
         if hint and hint != self.leader:
@@ -171,14 +171,14 @@
 
     async def poll(self) -> None:
         """Ask for changes once, and take them in."""
-        sent = self.clock()
+        sent_at = self.clock()
         read = messages.TableRead(
             self.revision, self.config.name, self.refusals_revision
         )
-        reply = await self.control.read(read, TRY_S * 3)
-        self.take(reply, sent)
+        reply = await self.control.read(read, READ_TIMEOUT_S * 3)
+        self.take(reply, sent_at)
 
-    def take(self, reply: messages.TableReply, sent: float) -> None:
+    def take(self, reply: messages.TableReply, sent_at: float) -> None:
         """Take in a leader's answer to a poll sent at ``sent``."""
         if reply.revision < self.revision:
             # Only a leader of a log that lost commits could say this.
@@ -188,16 +188,16 @@
                 self.revision,
             )
             return
-        self.confirmed_at = sent
-        changed = self._take_refusals(reply)
+        self.confirmed_at = sent_at
+        changed = self._apply_refusals(reply)
         if reply.revision != self.revision:
-            self._take_rows(reply)
+            self._apply_rows(reply)
             changed = True
         if changed:
-            for call in self.changed:
-                call()
+            for callback in self.changed:
+                callback()
 
-    def _take_rows(self, reply: messages.TableReply) -> None:
+    def _apply_rows(self, reply: messages.TableReply) -> None:
         if reply.whole:
             self.rows = {}
         for key in reply.removed:
@@ -205,10 +205,10 @@
         for row in reply.rows:
             self.rows[row.key] = row
         self.revision = reply.revision
-        self._weigh()
+        self._sum_account_weights()
         loguru.logger.bind(revision=reply.revision).info('table in force')
 
-    def _take_refusals(self, reply: messages.TableReply) -> bool:
+    def _apply_refusals(self, reply: messages.TableReply) -> bool:
         if reply.refusals is None:
             return False
         self.quarantined = frozenset(reply.refusals.quarantined)
@@ -216,7 +216,7 @@
         self.refusals_revision = reply.refusals_revision
         return True
 
-    def _weigh(self) -> None:
+    def _sum_account_weights(self) -> None:
         self.accounts = {}
         for row in self.rows.values():
             weight = self.accounts.get(row.account, 0.0)
--- a/src/bulrushhold/entry/_copywriter.py
+++ b/src/bulrushhold/entry/_copywriter.py
@@ -13,7 +13,7 @@
 from bulrushhold import ports
 from bulrushhold import settings
 
-LOST_PEER_PAUSE_S: t.Final = 5.0
+LOST_PEER_RETRY_S: t.Final = 5.0
 MAX_TOKENS_PER_APPEND: t.Final = 20_000
 
 
@@ -23,7 +23,7 @@
 
     address: str
     dirty: dict[str, _generation.Generation] = attrs.field(factory=dict)
-    work: asyncio.Event = attrs.field(factory=asyncio.Event)
+    has_work: asyncio.Event = attrs.field(factory=asyncio.Event)
     down_until: float = 0.0
 
 
@@ -46,7 +46,7 @@
         self.metrics = metrics
         self.peers: dict[str, _Peer] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        self.open: dict[str, _generation.Generation] = {}
+        self.unfinished: dict[str, _generation.Generation] = {}
 
     def set_peers(self, addresses: list[str]) -> None:
         """Write to these peers from now on.
@@ -58,29 +58,29 @@
             self.tasks.pop(address).cancel()
         for address in addresses:
             if address not in self.peers:
-                peer = _Peer(address, dirty=dict(self.open))
-                peer.work.set()
+                peer = _Peer(address, dirty=dict(self.unfinished))
+                peer.has_work.set()
                 self.peers[address] = peer
                 self.tasks[address] = asyncio.get_running_loop().create_task(
-                    self._write(peer)
+                    self._replicate_to(peer)
                 )
-        for generation in self.open.values():
-            self._show(generation)
+        for generation in self.unfinished.values():
+            self._update_visible(generation)
 
-    def wrote(self, generation: _generation.Generation) -> None:
+    def replicate(self, generation: _generation.Generation) -> None:
         """Learn that a transcript has grown or ended."""
-        self.open[generation.key] = generation
+        self.unfinished[generation.key] = generation
         if not self.peers:
-            self._show(generation)
+            self._update_visible(generation)
             return
         now = time.monotonic()
         waiting = False
         for peer in self.peers.values():
             peer.dirty[generation.key] = generation
-            peer.work.set()
+            peer.has_work.set()
             waiting = waiting or now >= peer.down_until
         if not waiting:
-            self._show(generation)
+            self._update_visible(generation)
 
     async def close(self) -> None:
         """Stop writing."""
@@ -89,7 +89,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _show(self, generation: _generation.Generation) -> None:
+    def _update_visible(self, generation: _generation.Generation) -> None:
         """Let the caller see what every live peer holds.
 
         With no live peer the tokens are shown all the same: waiting
@@ -106,12 +106,12 @@
             self.metrics.count('copies.none')
         generation.advance_visible(min([length, *acked]))
         if generation.fully_visible:
-            self.open.pop(generation.key, None)
+            self.unfinished.pop(generation.key, None)
 
-    async def _write(self, peer: _Peer) -> None:
+    async def _replicate_to(self, peer: _Peer) -> None:
         while True:
-            await peer.work.wait()
-            peer.work.clear()
+            await peer.has_work.wait()
+            peer.has_work.clear()
             batch, peer.dirty = peer.dirty, {}
             started = time.monotonic()
             await self._send(peer, list(batch.values()))
@@ -129,13 +129,13 @@
                 self.config.ack_s,
             )
         except errors.PeerError as error:
-            await self._lose(peer, batch, error)
+            await self._on_peer_lost(peer, batch, error)
             return
-        unlike = {ack.number: ack for ack in reply.exceptions}
+        exceptions = {ack.number: ack for ack in reply.exceptions}
         for number, append in enumerate(appends):
-            ack = unlike.get(number)
+            ack = exceptions.get(number)
             length = append.offset + len(append.tokens)
-            self._take_ack(
+            self._apply_ack(
                 peer,
                 batch[number],
                 length if ack is None else ack.length,
@@ -148,17 +148,17 @@
         offset = generation.acked.get(peer.address, 0)
         transcript = generation.transcript
         tokens = transcript.tokens[offset : offset + MAX_TOKENS_PER_APPEND]
-        whole = offset + len(tokens) == len(transcript.tokens)
+        complete = offset + len(tokens) == len(transcript.tokens)
         return messages.CopyAppend(
             generation.key,
             generation.epoch,
             offset,
             tokens,
             transcript.version,
-            transcript.finish if whole else '',
+            transcript.finish if complete else '',
         )
 
-    def _take_ack(
+    def _apply_ack(
         self,
         peer: _Peer,
         generation: _generation.Generation,
@@ -168,15 +168,15 @@
     ) -> None:
         if fenced:
             generation.fence(peer.address)
-            self.open.pop(generation.key, None)
+            self.unfinished.pop(generation.key, None)
             return
         generation.acked[peer.address] = length
         if length < len(generation.transcript.tokens):
             peer.dirty[generation.key] = generation
-            peer.work.set()
-        self._show(generation)
+            peer.has_work.set()
+        self._update_visible(generation)
 
-    async def _lose(
+    async def _on_peer_lost(
         self,
         peer: _Peer,
         batch: list[_generation.Generation],
@@ -184,13 +184,13 @@
     ) -> None:
         loguru.logger.warning('copy peer lost: {}', error)
         self.metrics.count('copies.peer_lost')
-        peer.down_until = time.monotonic() + LOST_PEER_PAUSE_S
-        for generation in [*batch, *self.open.values()]:
-            self._show(generation)
-        await asyncio.sleep(LOST_PEER_PAUSE_S)
+        peer.down_until = time.monotonic() + LOST_PEER_RETRY_S
+        for generation in [*batch, *self.unfinished.values()]:
+            self._update_visible(generation)
+        await asyncio.sleep(LOST_PEER_RETRY_S)
         # A peer that was restarted has nothing: all goes there again.
-        for generation in self.open.values():
+        for generation in self.unfinished.values():
             generation.acked.pop(peer.address, None)
-        peer.dirty = dict(self.open)
+        peer.dirty = dict(self.unfinished)
         if peer.dirty:
-            peer.work.set()
+            peer.has_work.set()
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -260,7 +260,7 @@
         attempt.last_event_at = now
         generation.last_token_at = now
         self.policy.budget.delivered += 1
-        self.copies.wrote(generation)
+        self.copies.replicate(generation)
         return not event.finish
 
     def _on_first_event(
--- a/src/bulrushhold/entry/_services.py
+++ b/src/bulrushhold/entry/_services.py
@@ -49,7 +49,7 @@
         """
         end = time.monotonic() + row.deadline_s
         tried: set[str] = set()
-        last: errors.BackendError | None = None
+        last_error: errors.BackendError | None = None
         while len(tried) < MAX_TRIES and time.monotonic() < end:
             state = self._choose(service, row, call, tried)
             if state is None:
@@ -58,13 +58,13 @@
             try:
                 return await self._call(state, call)
             except errors.BackendError as error:
-                last = error
-        if last is None:
+                last_error = error
+        if last_error is None:
             raise self._no_server(service)
         raise errors.RequestError(
-            last.reason,
-            last.step,
-            last.peer,
+            last_error.reason,
+            last_error.step,
+            last_error.peer,
             ran=errors.Ran.UNKNOWN,
             status=502,
             retry_after=RETRY_AFTER_S,
--- a/src/bulrushhold/entry/_streams.py
+++ b/src/bulrushhold/entry/_streams.py
@@ -175,7 +175,7 @@
         if taken.former is not None:
             _restore(generation, taken.former)
         self.generations[key] = generation
-        self.copies.wrote(generation)
+        self.copies.replicate(generation)
         if generation.transcript.finish:
             generation.lifecycle.move('finish')
             return generation
