--- a/src/bulrushhold/entry/_keys.py
+++ b/src/bulrushhold/entry/_keys.py
@@ -16,13 +16,13 @@
 from bulrushhold import settings
 
 POINTER_HOMES: t.Final = 3
-ASK_S: t.Final = 0.4
-TRIES: t.Final = 4
+REQUEST_TIMEOUT_S: t.Final = 0.4
+MAX_ROUNDS: t.Final = 4
 RETRY_AFTER_S: t.Final = 1.0
 
 
 @attrs.frozen
-class Taken:
+class KeyOwnership:
     """A key that this entry now serves.
 
     :param since: the epoch that began its text.
@@ -50,17 +50,21 @@
         self.store = store
         self.entries = entries
         self.copies = copies
-        self.own = str(config.peer)
-        self.tie = xxhash.xxh3_64_intdigest(config.name.encode()) & 0xFFFF
+        self.own_address = str(config.peer)
+        self.epoch_suffix = (
+            xxhash.xxh3_64_intdigest(config.name.encode()) & 0xFFFF
+        )
         transport.handle(messages.PointerTake, self._on_pointer)
         transport.handle(messages.CopyBatch, self._on_batch)
         transport.handle(messages.CopyTake, self._on_take)
 
-    def fresh_epoch(self) -> int:
+    def new_epoch(self) -> int:
         """Return an epoch that no other entry uses: time, then name."""
-        return (int(time.time() * 1000) << 16) | self.tie
+        return (int(time.time() * 1000) << 16) | self.epoch_suffix
 
-    async def take(self, key: str, fingerprint: str, received: int) -> Taken:
+    async def take(
+        self, key: str, fingerprint: str, received: int
+    ) -> KeyOwnership:
         """Become the one entry that serves a key.
 
         :param have: tokens that the caller has.
@@ -68,9 +72,9 @@
             its homes can't be asked, or what the caller has may be of a
             text that can't be found.
         """
-        epoch = self.fresh_epoch()
-        lacking = False
-        for _ in range(TRIES):
+        epoch = self.new_epoch()
+        no_majority = False
+        for _ in range(MAX_ROUNDS):
             found = await self._take_pointers(key, epoch, fingerprint)
             if found.mismatch:
                 raise errors.RequestError(
@@ -79,15 +83,15 @@
                     status=422,
                 )
             if not found.majority:
-                lacking = True
+                no_majority = True
                 continue
             if found.epoch > epoch:
                 # A clock behind another's: go on from the epoch in force.
-                epoch = (((found.epoch >> 16) + 1) << 16) | self.tie
+                epoch = (((found.epoch >> 16) + 1) << 16) | self.epoch_suffix
                 continue
             copy = await self._take_copies(key, epoch, found)
-            known = len(copy.tokens) if copy else 0
-            if received and (received > known or not found.sure):
+            held = len(copy.tokens) if copy else 0
+            if received and (received > held or not found.sure):
                 raise errors.RequestError(
                     f'the answer is not known up to token {received}; ask '
                     'anew, under a new key',
@@ -98,10 +102,10 @@
             if copy is not None and not (copy.tokens or copy.finish):
                 copy = None
             if copy is not None:
-                return Taken(epoch, found.since, copy)
-            if await self._begin(key, epoch, fingerprint):
-                return Taken(epoch, epoch, None)
-        if lacking:
+                return KeyOwnership(epoch, found.since, copy)
+            if await self._begin_text(key, epoch, fingerprint):
+                return KeyOwnership(epoch, epoch, None)
+        if no_majority:
             raise self._no_majority()
         raise errors.RequestError(
             'other entries are taking this request over',
@@ -120,12 +124,16 @@
             retry_after=RETRY_AFTER_S,
         )
 
-    async def _begin(self, key: str, epoch: int, fingerprint: str) -> bool:
+    async def _begin_text(
+        self, key: str, epoch: int, fingerprint: str
+    ) -> bool:
         """Say at a majority of homes that a new text begins."""
         found = await self._take_pointers(key, epoch, fingerprint, begins=True)
         return found.majority and found.epoch == epoch
 
-    async def still_ours(self, key: str, epoch: int, fingerprint: str) -> bool:
+    async def still_owned(
+        self, key: str, epoch: int, fingerprint: str
+    ) -> bool:
         """Whether no other entry has taken a key over from this one.
 
         A caller may come back to an entry that doesn't know yet that
@@ -133,7 +141,7 @@
 
         :raises RequestError: where too few homes can be asked.
         """
-        for _ in range(TRIES):
+        for _ in range(MAX_ROUNDS):
             found = await self._take_pointers(key, epoch, fingerprint)
             if found.majority:
                 return found.epoch == epoch
@@ -151,7 +159,7 @@
             key, epoch, fingerprint, self.copies(), since=since
         )
         for home in decisions.homes(key, self.entries(), POINTER_HOMES):
-            if home.peer == self.own:
+            if home.peer == self.own_address:
                 self.store.take_pointer(take, time.monotonic())
             else:
                 self.transport.send(home.peer, take)
@@ -163,13 +171,15 @@
             key, epoch, fingerprint, self.copies(), begins
         )
         homes = decisions.homes(key, self.entries(), POINTER_HOMES)
-        states = await self._ask([home.peer for home in homes], take)
+        states = await self._request_all([home.peer for home in homes], take)
         return decisions.standing(states, len(homes))
 
     async def _take_copies(
         self, key: str, epoch: int, found: decisions.Standing
     ) -> messages.CopyState | None:
-        states = await self._ask(found.former, messages.CopyTake(key, epoch))
+        states = await self._request_all(
+            found.former, messages.CopyTake(key, epoch)
+        )
         best = decisions.best_copy(states, found.since)
         if best is not None:
             node.log_decision(
@@ -181,20 +191,24 @@
             )
         return best
 
-    async def _ask(self, addresses: list[str], message: t.Any) -> list[t.Any]:
+    async def _request_all(
+        self, addresses: list[str], message: t.Any
+    ) -> list[t.Any]:
         answers = await asyncio.gather(
-            *(self._ask_one(address, message) for address in addresses)
+            *(self._request_one(address, message) for address in addresses)
         )
         return [answer for answer in answers if answer is not None]
 
-    async def _ask_one(self, address: str, message: t.Any) -> t.Any:
-        if address == self.own:
+    async def _request_one(self, address: str, message: t.Any) -> t.Any:
+        if address == self.own_address:
             now = time.monotonic()
             if isinstance(message, messages.PointerTake):
                 return self.store.take_pointer(message, now)
             return self.store.take(message, now)
         try:
-            return await self.transport.request(address, message, ASK_S)
+            return await self.transport.request(
+                address, message, REQUEST_TIMEOUT_S
+            )
         except errors.PeerError:
             return None
 
--- a/src/bulrushhold/entry/_members.py
+++ b/src/bulrushhold/entry/_members.py
@@ -12,7 +12,7 @@
 from bulrushhold import ports
 
 PERIOD_S: t.Final = decisions.MEMBERSHIP_PERIOD_S
-PROBE_S: t.Final = decisions.MEMBERSHIP_PROBE_S
+PROBE_TIMEOUT_S: t.Final = decisions.MEMBERSHIP_PROBE_S
 
 
 class Prober:
@@ -53,19 +53,19 @@
             self.transport.send(member.instance.peer, news)
 
     async def _probe(self, target: ports.Instance) -> None:
-        if await self._ask(target.peer, PROBE_S):
+        if await self._send_probe(target.peer, PROBE_TIMEOUT_S):
             self.membership.answered(target.name, self.clock())
             return
         helpers = self.membership.helpers(target.name)
-        asked = messages.ProbeFor(target.peer, self.membership.tell())
+        request = messages.ProbeFor(target.peer, self.membership.tell())
         answers = await asyncio.gather(
-            *(self._ask_helper(helper, asked) for helper in helpers)
+            *(self._probe_through(helper, request) for helper in helpers)
         )
         if any(answers):
             return
-        before = self.membership.usable(target.name)
+        was_usable = self.membership.usable(target.name)
         self.membership.silent(target.name, self.clock())
-        if before:
+        if was_usable:
             node.log_decision(
                 'member silent',
                 member=target.name,
@@ -73,7 +73,7 @@
                 reason='no answer to this entry or its helpers',
             )
 
-    async def _ask(self, address: str, timeout: float) -> bool:
+    async def _send_probe(self, address: str, timeout: float) -> bool:
         probe = messages.Probe(self.membership.tell())
         try:
             reply = await self.transport.request(address, probe, timeout)
@@ -82,12 +82,12 @@
         self.membership.hear(reply.news, self.clock())
         return True
 
-    async def _ask_helper(
-        self, helper: ports.Instance, asked: messages.ProbeFor
+    async def _probe_through(
+        self, helper: ports.Instance, request: messages.ProbeFor
     ) -> bool:
         try:
             reply = await self.transport.request(
-                helper.peer, asked, 2 * PROBE_S
+                helper.peer, request, 2 * PROBE_TIMEOUT_S
             )
         except errors.PeerError:
             return False
@@ -98,10 +98,10 @@
         return messages.ProbeReply(True, self.membership.tell())
 
     async def _on_probe_for(
-        self, asked: messages.ProbeFor
+        self, request: messages.ProbeFor
     ) -> messages.ProbeReply:
-        self.membership.hear(asked.news, self.clock())
-        answered = await self._ask(asked.target, PROBE_S)
+        self.membership.hear(request.news, self.clock())
+        answered = await self._send_probe(request.target, PROBE_TIMEOUT_S)
         return messages.ProbeReply(answered, self.membership.tell())
 
     async def _on_news(self, news: messages.MemberNews) -> None:
--- a/src/bulrushhold/entry/_operators.py
+++ b/src/bulrushhold/entry/_operators.py
@@ -54,7 +54,7 @@
     async def _pull(self, request: web.Request) -> web.Response:
         self._check_operator(request)
         read = messages.TableRead(0, '')
-        reply = await self._ask(read)
+        reply = await self._read(read)
         text = decisions.write_csv(reply.rows, reply.revision)
         return web.Response(
             text=text,
@@ -84,8 +84,8 @@
                 content_type=_JSON,
             )
         # Where the base is too old this finds no rows; control refuses it.
-        former = await self._ask(messages.TableRead(0, '', at=base))
-        changed, removed = decisions.difference(former.rows, rows)
+        base_table = await self._read(messages.TableRead(0, '', at=base))
+        changed, removed = decisions.difference(base_table.rows, rows)
         edit = messages.TableEdit(
             edit_id,
             base,
@@ -120,21 +120,21 @@
 
     async def _history(self, request: web.Request) -> web.Response:
         self._check_operator(request)
-        reply = await self._ask(messages.HistoryRead())
+        reply = await self._read(messages.HistoryRead())
         return web.Response(body=_encode(reply.items), content_type=_JSON)
 
     async def _lift(self, request: web.Request) -> web.Response:
         self._check_operator(request)
-        order = messages.Quarantine(
+        command = messages.Quarantine(
             request.match_info['fingerprint'], '', time.time(), lift=True
         )
         try:
-            await self.control.propose(order, PUSH_DEADLINE_S)
+            await self.control.propose(command, PUSH_DEADLINE_S)
         except errors.PeerError as error:
             raise self._no_control(error) from error
         return web.Response(body=b'{}', content_type=_JSON)
 
-    async def _ask(self, read: messages.Message) -> t.Any:
+    async def _read(self, read: messages.Message) -> t.Any:
         try:
             return await self.control.read(read, PUSH_DEADLINE_S)
         except errors.PeerError as error:
--- a/src/bulrushhold/entry/_quarantine.py
+++ b/src/bulrushhold/entry/_quarantine.py
@@ -11,7 +11,7 @@
 from bulrushhold import errors
 from bulrushhold import messages
 
-PROPOSE_S: t.Final = 10.0
+PROPOSE_TIMEOUT_S: t.Final = 10.0
 
 
 class Quarantine(abc.ABC):
@@ -42,41 +42,44 @@
         self,
         control: _control.ControlClient,
         table: _control.TableView,
-        refuse: cabc.Callable[[frozenset[str]], None],
+        refuse_streams: cabc.Callable[[frozenset[str]], None],
         spawn: cabc.Callable[[t.Coroutine[t.Any, t.Any, t.Any]], None],
         poll_s: float,
     ) -> None:
         self.control = control
         self.table = table
-        self.refuse = refuse
+        self.refuse_streams = refuse_streams
         self.spawn = spawn
         self.poll_s = poll_s
-        self.own: set[str] = set()
+        self.pending: set[str] = set()
 
     def refused(self, fingerprint: str) -> bool:
         """Whether the content is quarantined."""
-        return fingerprint in self.own or fingerprint in self.table.quarantined
+        return (
+            fingerprint in self.pending
+            or fingerprint in self.table.quarantined
+        )
 
     def add(self, fingerprint: str, reason: str) -> None:
         """Have the content refused by every entry."""
-        self.own.add(fingerprint)
-        self.refuse(frozenset(self.own))
-        self.spawn(self._tell(fingerprint, reason))
+        self.pending.add(fingerprint)
+        self.refuse_streams(frozenset(self.pending))
+        self.spawn(self._propose_quarantine(fingerprint, reason))
 
     def suspect(self, fingerprints: list[str]) -> None:
         """Tell every entry that an engine died under these contents."""
         self.spawn(self._propose(messages.Suspected(fingerprints)))
 
-    async def _propose(self, order: messages.Message) -> None:
+    async def _propose(self, command: messages.Message) -> None:
         while True:
             with contextlib.suppress(errors.PeerError):
-                await self.control.propose(order, PROPOSE_S)
+                await self.control.propose(command, PROPOSE_TIMEOUT_S)
                 break
 
-    async def _tell(self, fingerprint: str, reason: str) -> None:
+    async def _propose_quarantine(self, fingerprint: str, reason: str) -> None:
         await self._propose(
             messages.Quarantine(fingerprint, reason, time.time())
         )
         # From here on control's list counts, so that operators can lift.
         await asyncio.sleep(2 * self.poll_s)
-        self.own.discard(fingerprint)
+        self.pending.discard(fingerprint)
--- a/src/bulrushhold/entry/_server.py
+++ b/src/bulrushhold/entry/_server.py
@@ -173,7 +173,7 @@
         )
         row = self._row(request, work)
         spec = _requests.make_spec(chat, row)
-        if not self.view.serves(chat.model):
+        if not self.view.has_model(chat.model):
             raise _requests.bad_request(f'unknown model {chat.model!r}', 404)
         if spec.fingerprint in self.table.quarantined:
             raise errors.RequestError(
@@ -181,10 +181,10 @@
                 'quarantine',
                 status=422,
             )
-        ours = not key
+        owned = not key
         key = key or str(uuid_utils.uuid7())
         generation = await self.streams.open(
-            f'{row.account}/{key}', spec, received, ours=ours
+            f'{row.account}/{key}', spec, received, owned=owned
         )
         self.metrics.count('generations')
         generation.readers += 1
--- a/src/bulrushhold/entry/_streams.py
+++ b/src/bulrushhold/entry/_streams.py
@@ -33,7 +33,7 @@
         self.copies = copies
         self.store = store
         self.generations: dict[str, _generation.Generation] = {}
-        self.opening: dict[str, asyncio.Lock] = {}
+        self.open_locks: dict[str, asyncio.Lock] = {}
 
     async def open(
         self,
@@ -41,7 +41,7 @@
         spec: _generation.GenerationSpec,
         received: int,
         *,
-        ours: bool,
+        owned: bool,
     ) -> _generation.Generation:
         """Return the generation of a key, started or continued.
 
@@ -49,13 +49,15 @@
         :param ours: the key was made here, so nobody else can know it.
         :raises RequestError: where the answer can't honestly go on.
         """
-        lock = self.opening.setdefault(key, asyncio.Lock())
+        lock = self.open_locks.setdefault(key, asyncio.Lock())
         async with lock:
             generation = self.generations.get(key)
-            if generation is None or await self._superseded(generation):
-                generation = await self._start(key, spec, received, ours=ours)
+            if generation is None or await self._needs_restart(generation):
+                generation = await self._start(
+                    key, spec, received, owned=owned
+                )
         if not lock.locked():
-            self.opening.pop(key, None)
+            self.open_locks.pop(key, None)
         if generation.spec.fingerprint != spec.fingerprint:
             raise errors.RequestError(
                 'the idempotency key was used for another request',
@@ -128,10 +130,13 @@
             return
         if generation.abandoned_at is None:
             generation.abandoned_at = now
-        left = now - generation.abandoned_at
-        if generation.ended and left > self.config.copies.keep_s:
+        abandoned_s = now - generation.abandoned_at
+        if generation.ended and abandoned_s > self.config.copies.keep_s:
             del self.generations[key]
-        elif not generation.ended and left > self.config.recovery.orphan_s:
+        elif (
+            not generation.ended
+            and abandoned_s > self.config.recovery.orphan_s
+        ):
             self.cancel(generation, 'the caller left')
 
     @property
@@ -139,19 +144,19 @@
         """Generations that haven't ended."""
         return sum(not g.ended for g in self.generations.values())
 
-    async def _superseded(self, generation: _generation.Generation) -> bool:
+    async def _needs_restart(self, generation: _generation.Generation) -> bool:
         """Whether the caller's return needs a new start here."""
         state = generation.lifecycle.state
         if state in ('fenced', 'cancelled'):
             return True
         if state == 'refused' and not generation.transcript.tokens:
             return True
-        ours = await self.keys.still_ours(
+        owned = await self.keys.still_owned(
             generation.key, generation.epoch, generation.spec.fingerprint
         )
-        if not ours:
+        if not owned:
             generation.fence('a pointer home')
-        return not ours
+        return not owned
 
     async def _start(
         self,
@@ -159,21 +164,21 @@
         spec: _generation.GenerationSpec,
         received: int,
         *,
-        ours: bool,
+        owned: bool,
     ) -> _generation.Generation:
-        if ours:
+        if owned:
             # Register without waiting: the caller learns the key with the
             # first bytes of the answer, not before.
-            epoch = self.keys.fresh_epoch()
+            epoch = self.keys.new_epoch()
             self.keys.refresh(key, epoch, epoch, spec.fingerprint)
-            taken = _keys.Taken(epoch, epoch, None)
+            ownership = _keys.KeyOwnership(epoch, epoch, None)
         else:
-            taken = await self.keys.take(key, spec.fingerprint, received)
-        generation = _generation.Generation(key, spec, taken.epoch)
-        generation.since = taken.since
+            ownership = await self.keys.take(key, spec.fingerprint, received)
+        generation = _generation.Generation(key, spec, ownership.epoch)
+        generation.since = ownership.since
         generation.refresh_at = time.monotonic() + self._refresh_s
-        if taken.former is not None:
-            _restore(generation, taken.former)
+        if ownership.former is not None:
+            _restore(generation, ownership.former)
         self.generations[key] = generation
         self.copies.replicate(generation)
         if generation.transcript.finish:
--- a/src/bulrushhold/entry/_view.py
+++ b/src/bulrushhold/entry/_view.py
@@ -11,7 +11,7 @@
 from bulrushhold import ports
 from bulrushhold import settings
 
-POLL_S: t.Final = 1.0
+POLL_INTERVAL_S: t.Final = 1.0
 
 
 class PlatformView:
@@ -33,11 +33,11 @@
         self.router = router
         self.membership = membership
         self.entries: list[ports.Instance] = []
-        self.heard_at = 0.0
+        self.updated_at = 0.0
         self.changed = asyncio.Event()
 
     @property
-    def own(self) -> ports.Instance:
+    def own_instance(self) -> ports.Instance:
         """This entry as others should see it."""
         return ports.Instance(
             self.config.name,
@@ -57,7 +57,7 @@
     def copy_peers(self) -> list[str]:
         """Return the addresses that hold this entry's transcripts."""
         peers = decisions.copy_peers(
-            self.own, self.listed(), self.config.copies.count
+            self.own_instance, self.listed(), self.config.copies.count
         )
         return [peer.peer for peer in peers]
 
@@ -71,7 +71,7 @@
             and not state.server.leaving
         )
 
-    def serves(self, model: str) -> bool:
+    def has_model(self, model: str) -> bool:
         """Whether any engine is listed with a model."""
         return any(
             model in state.server.models
@@ -82,7 +82,7 @@
         """Poll until cancelled."""
         while True:
             await self.poll()
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def poll(self) -> None:
         """Ask the platform once."""
@@ -91,7 +91,7 @@
         except errors.PeerError as error:
             loguru.logger.warning('platform list: {}', error)
             return
-        self.heard_at = time.monotonic()
+        self.updated_at = time.monotonic()
         if platform is None:
             return
         self.entries = platform.entries
