--- a/src/bulrushhold/client.py
+++ b/src/bulrushhold/client.py
@@ -17,10 +17,10 @@
 
 from bulrushhold import errors
 
-ASK_S: t.Final = 2.0
+REFRESH_TIMEOUT_S: t.Final = 2.0
 RETRY_DELAY_S: t.Final = 0.2
-IDLE_S: t.Final = 1.5
-_BROKEN: t.Final = (
+READ_TIMEOUT_S: t.Final = 1.5
+_CONNECTION_ERRORS: t.Final = (
     aiohttp.ClientError,
     ConnectionError,
     asyncio.TimeoutError,
@@ -94,9 +94,9 @@
         headers = {'Bulrushhold-Work': work, 'Idempotency-Key': key}
         received = 0
         end = time.monotonic() + self.deadline_s
-        skip: set[str] = set()
+        failed: set[str] = set()
         while True:
-            entry = await self._pick(skip, end)
+            entry = await self._pick_entry(failed, end)
             if received:
                 headers['Last-Event-ID'] = str(received - 1)
             try:
@@ -104,20 +104,22 @@
                     if offset is None:
                         return
                     if offset != received:
-                        raise _lost(f'token {offset} after {received}', entry)
+                        raise _stream_error(
+                            f'token {offset} after {received}', entry
+                        )
                     received += 1
                     # Each token shows that the system is alive.
                     end = time.monotonic() + self.deadline_s
                     yield token
-                raise _lost('the stream ended early', entry)
-            except _BROKEN as error:
-                skip = {entry}
+                raise _stream_error('the stream ended early', entry)
+            except _CONNECTION_ERRORS as error:
+                failed = {entry}
                 if time.monotonic() > end:
-                    raise _lost(str(error), entry) from error
+                    raise _stream_error(str(error), entry) from error
             except errors.RequestError as error:
-                if not _try_elsewhere(error) or time.monotonic() > end:
+                if not _retry_elsewhere(error) or time.monotonic() > end:
                     raise
-                skip = {entry}
+                failed = {entry}
                 await asyncio.sleep(min(RETRY_DELAY_S, error.retry_after or 0))
 
     async def call(
@@ -138,9 +140,9 @@
         """
         key = key or str(uuid_utils.uuid7())
         end = time.monotonic() + self.deadline_s
-        skip: set[str] = set()
+        failed: set[str] = set()
         while True:
-            entry = await self._pick(skip, end)
+            entry = await self._pick_entry(failed, end)
             url = f'http://{entry}/v1/services/{service}/{path}'
             try:
                 async with self.session.request(
@@ -158,57 +160,59 @@
                     return Answer(response.status, content)
                 if error.status != 503 or time.monotonic() > end:
                     raise error
-            except _BROKEN as error:
+            except _CONNECTION_ERRORS as error:
                 if time.monotonic() > end:
                     raise errors.RequestError(
                         str(error), 'call', entry, ran=errors.Ran.UNKNOWN
                     ) from error
-            skip = {entry}
+            failed = {entry}
             await asyncio.sleep(RETRY_DELAY_S)
 
     async def _read(
         self, entry: str, body: dict[str, t.Any], headers: dict[str, str]
     ) -> cabc.AsyncGenerator[tuple[int | None, str], None]:
         url = f'http://{entry}/v1/chat/completions'
-        sent = {**headers, 'Bulrushhold-Account': self.account}
+        all_headers = {**headers, 'Bulrushhold-Account': self.account}
         # An entry shows life twice a second, also while its engine is quiet.
         timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=1.0, sock_read=IDLE_S
+            total=None, sock_connect=1.0, sock_read=READ_TIMEOUT_S
         )
         async with self.session.post(
-            url, json=body, headers=sent, timeout=timeout
+            url, json=body, headers=all_headers, timeout=timeout
         ) as response:
             if response.status != 200:
                 content = await response.read()
                 error = _error_in(response.status, content, entry)
-                raise error or _lost(f'status {response.status}', entry)
+                raise error or _stream_error(
+                    f'status {response.status}', entry
+                )
             offset = -1
-            failing = False
+            is_error = False
             async for raw in response.content:
                 line = raw.rstrip(b'\n')
                 if line.startswith(b'id: '):
                     offset = int(line[4:])
                 elif line == b'event: error':
-                    failing = True
+                    is_error = True
                 elif line == b'data: [DONE]':
                     yield None, ''
                     return
                 elif line.startswith(b'data: '):
-                    if failing:
+                    if is_error:
                         error = _error_in(500, line[6:], entry)
-                        raise error or _lost('bad error event', entry)
+                        raise error or _stream_error('bad error event', entry)
                     token = _token_in(line[6:])
                     if token is not None:
                         yield offset, token
 
-    async def _pick(self, skip: set[str], end: float) -> str:
+    async def _pick_entry(self, failed: set[str], end: float) -> str:
         while True:
             if time.monotonic() >= self.keep_until:
-                await self._refresh(skip)
+                await self._refresh_entries(failed)
             for entry in self.entries or self.seeds:
-                if entry not in skip:
+                if entry not in failed:
                     return entry
-            skip.clear()
+            failed.clear()
             self.keep_until = 0.0
             if time.monotonic() > end:
                 raise errors.RequestError(
@@ -216,24 +220,24 @@
                 )
             await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _refresh(self, skip: set[str]) -> None:
+    async def _refresh_entries(self, failed: set[str]) -> None:
         params = {
             'account': self.account,
             'data_centre': self.data_centre,
         }
         known = [*self.entries, *self.seeds]
-        order = [e for e in known if e not in skip] or known
-        for entry in dict.fromkeys(order):
+        candidates = [e for e in known if e not in failed] or known
+        for entry in dict.fromkeys(candidates):
             try:
                 async with self.session.get(
                     f'http://{entry}/v1/entries',
                     params=params,
-                    timeout=aiohttp.ClientTimeout(total=ASK_S),
+                    timeout=aiohttp.ClientTimeout(total=REFRESH_TIMEOUT_S),
                 ) as response:
                     if response.status != 200:
                         continue
                     answer = await response.json()
-            except _BROKEN:
+            except _CONNECTION_ERRORS:
                 continue
             self.entries = answer['entries']
             self.keep_until = time.monotonic() + answer['keep_s']
@@ -265,10 +269,10 @@
         return None
 
 
-def _lost(reason: str, entry: str) -> aiohttp.ClientPayloadError:
+def _stream_error(reason: str, entry: str) -> aiohttp.ClientPayloadError:
     return aiohttp.ClientPayloadError(f'{entry}: {reason}')
 
 
-def _try_elsewhere(error: errors.RequestError) -> bool:
+def _retry_elsewhere(error: errors.RequestError) -> bool:
     """Whether another entry may go on with the same key."""
     return error.status == 503 or error.step in ('fenced', 'entry')
--- a/src/bulrushhold/entry/_server.py
+++ b/src/bulrushhold/entry/_server.py
@@ -28,7 +28,7 @@
 
 NOT_READY_RETRY_S: t.Final = 2.0
 DRAIN_RETRY_S: t.Final = 0.0
-HEADERS_WITHIN_S: t.Final = 0.5
+MAX_HEADER_DELAY_S: t.Final = 0.5
 _JSON: t.Final = 'application/json'
 _encode = msgspec.json.encode
 
@@ -128,7 +128,7 @@
             headers=headers,
         )
 
-    def _admit(self) -> None:
+    def _check_accepting(self) -> None:
         """Refuse new work where this entry mustn't take any.
 
         :raises RequestError: with ``ran`` ``no``.
@@ -167,7 +167,7 @@
         account = request.headers.get(_requests.ACCOUNT_HEADER, '')
         if f'{account}/{key}' not in self.streams.generations:
             # A stream that is here may be read on while the entry drains.
-            self._admit()
+            self._check_accepting()
         work = request.headers.get(
             _requests.WORK_HEADER, _requests.DEFAULT_WORK
         )
@@ -191,11 +191,11 @@
         try:
             if chat.stream:
                 return await self._stream(request, generation, key, received)
-            return await self._whole(generation, key)
+            return await self._complete_answer(generation, key)
         finally:
             generation.readers -= 1
 
-    async def _whole(
+    async def _complete_answer(
         self, generation: _generation.Generation, key: str
     ) -> web.Response:
         while not generation.ended:
@@ -253,7 +253,7 @@
         """Wait for the first token, or as long as headers may be late."""
 
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(HEADERS_WITHIN_S):
+            async with asyncio.timeout(MAX_HEADER_DELAY_S):
                 while generation.visible <= received and not generation.ended:
                     await generation.wait()
 
@@ -262,7 +262,7 @@
     async def _call(self, request: web.Request) -> web.Response:
         service = request.match_info['service']
         path = request.match_info['path']
-        self._admit()
+        self._check_accepting()
         row = self._row(request, f'{service}/{path.partition("/")[0]}')
         key = _requests.read_key(request.headers)
         call = ports.ServiceCall(
@@ -278,7 +278,9 @@
         self.calls += 1
         try:
             if row.idempotent:
-                answer = await self.services.repeatable(service, row, call)
+                answer = await self.services.call_idempotent(
+                    service, row, call
+                )
             else:
                 answer = await self._call_once(service, row, call, key)
         finally:
@@ -305,7 +307,9 @@
         # Shielded: a caller who leaves must not stop the call between its
         # run and the record of its outcome.
         return await asyncio.shield(
-            asyncio.ensure_future(self.services.once(service, row, call, key))
+            asyncio.ensure_future(
+                self.services.call_once(service, row, call, key)
+            )
         )
 
     # Entries and health
@@ -314,11 +318,11 @@
         account = request.query.get('account', '')
         if not account:
             raise _requests.bad_request('parameter account is missing')
-        near = request.query.get('data_centre', '')
+        data_centre = request.query.get('data_centre', '')
         weights = self.table.accounts
         share = weights.get(account, 0.0) / (sum(weights.values()) or 1.0)
         chosen = decisions.entries_for(
-            account, share, self.view.listed(), near
+            account, share, self.view.listed(), data_centre
         )
         if len(chosen) > decisions.SMALL_ACCOUNT_ENTRIES:
             # Callers use the first: a large account's are to be spread.
@@ -336,7 +340,7 @@
 
     async def _ready(self, request: web.Request) -> web.Response:
         del request
-        self._admit()
+        self._check_accepting()
         return web.Response(text='ready\n')
 
     async def _status(self, request: web.Request) -> web.Response:
--- a/src/bulrushhold/entry/_services.py
+++ b/src/bulrushhold/entry/_services.py
@@ -14,9 +14,9 @@
 from bulrushhold import node
 from bulrushhold import ports
 
-CLAIM_S: t.Final = 5.0
-END_CLAIM_S: t.Final = 30.0
-CLOSE_CLAIM_S: t.Final = 5.0
+CLAIM_TIMEOUT_S: t.Final = 5.0
+END_CLAIM_TIMEOUT_S: t.Final = 30.0
+CLOSE_CLAIM_TIMEOUT_S: t.Final = 5.0
 RECORD_WAIT_S: t.Final = 1.0
 MAX_TRIES: t.Final = 3
 MAX_RECORDED_BYTES: t.Final = 64 << 10
@@ -40,7 +40,7 @@
         self.metrics = metrics
         self.records: set[asyncio.Task[bool]] = set()
 
-    async def repeatable(
+    async def call_idempotent(
         self, service: str, row: messages.Row, call: ports.ServiceCall
     ) -> ports.ServiceAnswer:
         """Make an idempotent call; another server gets it on a failure.
@@ -70,7 +70,7 @@
             retry_after=RETRY_AFTER_S,
         )
 
-    async def once(
+    async def call_once(
         self,
         service: str,
         row: messages.Row,
@@ -88,18 +88,18 @@
         )
         claim = messages.Claim(
             name,
-            _checked_time(key),
+            _checked_key_time(key),
             decisions.content_fingerprint(content + b'\0' + call.body),
             holder,
         )
         outcome = await self._claim(claim)
         if not outcome.granted:
-            return self._former(outcome)
+            return self._replay_outcome(outcome)
         return await self._run_claimed(service, row, call, claim)
 
     async def _claim(self, claim: messages.Claim) -> messages.ClaimOutcome:
         try:
-            return await self.control.propose(claim, CLAIM_S)
+            return await self.control.propose(claim, CLAIM_TIMEOUT_S)
         except errors.PeerError as error:
             # The claim may still be committed, for this holder only, and
             # this holder won't run it: a later try learns "unknown" at
@@ -113,7 +113,9 @@
                 retry_after=RETRY_AFTER_S,
             ) from error
 
-    def _former(self, outcome: messages.ClaimOutcome) -> ports.ServiceAnswer:
+    def _replay_outcome(
+        self, outcome: messages.ClaimOutcome
+    ) -> ports.ServiceAnswer:
         """Answer a key that was claimed before, from its outcome."""
         if outcome.state == 'done' and outcome.ran == 'yes':
             return ports.ServiceAnswer(
@@ -151,7 +153,7 @@
             except errors.BackendError as error:
                 if error.step == 'connect':
                     continue
-                await self._end(
+                await self._end_claim(
                     claim, errors.Ran.UNKNOWN, 0, b'', RECORD_WAIT_S
                 )
                 raise errors.RequestError(
@@ -161,7 +163,7 @@
                     ran=errors.Ran.UNKNOWN,
                     status=502,
                 ) from error
-            await self._record(claim, answer)
+            await self._record_outcome(claim, answer)
             return answer
         return await self._refuse_claimed(service, claim)
 
@@ -173,13 +175,15 @@
         In the other order, a caller that hears ``no`` and tries again
         could meet a claim that still looks as if it were running.
         """
-        closed = await self._end(claim, errors.Ran.NO, 0, b'', CLOSE_CLAIM_S)
+        closed = await self._end_claim(
+            claim, errors.Ran.NO, 0, b'', CLOSE_CLAIM_TIMEOUT_S
+        )
         refusal = self._no_server(service)
         if not closed:
             refusal.ran = errors.Ran.UNKNOWN
         raise refusal
 
-    async def _record(
+    async def _record_outcome(
         self, claim: messages.Claim, answer: ports.ServiceAnswer
     ) -> None:
         """Record an outcome, but don't keep the caller waiting for it.
@@ -188,19 +192,19 @@
         background; a resend until then hears that the call is under way.
         """
         work = asyncio.get_running_loop().create_task(
-            self._end(claim, errors.Ran.YES, answer.status, answer.body)
+            self._end_claim(claim, errors.Ran.YES, answer.status, answer.body)
         )
         self.records.add(work)
         work.add_done_callback(self.records.discard)
         await asyncio.wait([work], timeout=RECORD_WAIT_S)
 
-    async def _end(
+    async def _end_claim(
         self,
         claim: messages.Claim,
         ran: errors.Ran,
         status: int,
         body: bytes,
-        within_s: float = END_CLAIM_S,
+        timeout_s: float = END_CLAIM_TIMEOUT_S,
     ) -> bool:
         if len(body) > MAX_RECORDED_BYTES:
             ran, status, body = errors.Ran.UNKNOWN, 0, b''
@@ -208,7 +212,7 @@
             claim.key, claim.holder, ran.value, status, body
         )
         try:
-            await self.control.propose(end, within_s)
+            await self.control.propose(end, timeout_s)
         except errors.PeerError:
             self.metrics.count('claims.end_lost')
             return False
@@ -255,19 +259,19 @@
         return answer
 
     def _no_server(self, service: str) -> errors.RequestError:
-        known = self.router.has_kind(service)
+        listed = self.router.has_kind(service)
         return errors.RequestError(
             f'no server of service {service!r}',
             'route',
-            status=503 if known else 404,
-            retry_after=RETRY_AFTER_S if known else None,
+            status=503 if listed else 404,
+            retry_after=RETRY_AFTER_S if listed else None,
         )
 
 
-def _checked_time(key: str) -> float:
-    at = _requests.key_time(key)
-    if at > time.time() + MAX_KEY_AHEAD_S:
+def _checked_key_time(key: str) -> float:
+    key_time = _requests.key_time(key)
+    if key_time > time.time() + MAX_KEY_AHEAD_S:
         raise _requests.bad_request(
             'the idempotency key is dated in the future'
         )
-    return at
+    return key_time
