--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -21,28 +21,28 @@
 from bulrushhold import testing
 from tests import cores
 
-KNOWN_RED = pathlib.Path(__file__).parent.parent / 'KNOWN-RED.txt'
+KNOWN_FAILURES = pathlib.Path(__file__).parent.parent / 'KNOWN-RED.txt'
 OPERATOR_KEY = 'operator-key-for-tests'
 PROMPT = [{'role': 'user', 'content': 'hello'}]
 
 
-def known_red():
-    if not KNOWN_RED.exists():
+def known_failures():
+    if not KNOWN_FAILURES.exists():
         return {}
-    lines = KNOWN_RED.read_text().splitlines()
+    lines = KNOWN_FAILURES.read_text().splitlines()
     return {line.split()[0]: line for line in lines if line.strip()}
 
 
 def pytest_collection_modifyitems(config, items):
-    red = known_red()
-    passed_over = [item for item in items if item.nodeid in red]
-    for item in passed_over:
+    failures = known_failures()
+    deselected = [item for item in items if item.nodeid in failures]
+    for item in deselected:
         items.remove(item)
-    config.hook.pytest_deselected(items=passed_over)
+    config.hook.pytest_deselected(items=deselected)
 
 
 def pytest_terminal_summary(terminalreporter):
-    for line in known_red().values():
+    for line in known_failures().values():
         terminalreporter.write_line(f'KNOWN RED: {line}')
 
 
@@ -100,7 +100,7 @@
         await self.platform.start()
         self.key_file = self.folder / 'operator.key'
         self.key_file.write_text(OPERATOR_KEY)
-        self._found_control()
+        self._bootstrap_control()
         for name in self.addresses:
             await self.start_entry(name)
         await self.edit(FIRST_ROWS, 0)
@@ -144,7 +144,7 @@
         for entry in self.entries.values():
             await entry.view.poll()
 
-    def _found_control(self):
+    def _bootstrap_control(self):
         config = settings.Control(
             'c1',
             'north',
@@ -227,8 +227,8 @@
         edit = messages.TableEdit(
             edit_id or f'edit-{base}', base, 'test', 0.0, rows
         )
-        some = next(iter(self.entries.values()))
-        outcome = await some.control.propose(edit, 5)
+        any_entry = next(iter(self.entries.values()))
+        outcome = await any_entry.control.propose(edit, 5)
         for entry in self.entries.values():
             await until(lambda e=entry: e.table.revision >= outcome.revision)
         return outcome
@@ -242,12 +242,14 @@
     async def post(self, path, body, entry='e1', **headers):
         """Make one plain HTTP request; return status, headers, JSON."""
         http, _ = self.addresses[entry]
-        sent = {
+        all_headers = {
             name.replace('_', '-'): value for name, value in headers.items()
         }
         async with aiohttp.ClientSession() as session:
             url = f'http://{http}{path}'
-            async with session.post(url, data=body, headers=sent) as response:
+            async with session.post(
+                url, data=body, headers=all_headers
+            ) as response:
                 return (
                     response.status,
                     response.headers,
@@ -260,13 +262,13 @@
         for entry in self.entries.values():
             await entry.close()
         await self.stop_control()
-        for stand_in in [
+        for fake in [
             *self.engines.values(),
             self.booking,
             self.platform,
         ]:
-            stand_in.thaw() if hasattr(stand_in, 'thaw') else None
-            await stand_in.stop()
+            fake.thaw() if hasattr(fake, 'thaw') else None
+            await fake.stop()
 
 
 async def until(condition, seconds=20.0):
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -27,7 +27,7 @@
     return system.engines[tokens[0].partition('-')[0]]
 
 
-async def test_an_answer_is_whole(system):
+async def test_an_answer_is_complete(system):
     tokens = await read(system.client())
     conftest.assert_whole(tokens, 40)
 
@@ -72,16 +72,16 @@
     for engine in system.engines.values():
         engine.drop_end_mark = True
 
-    async def mend(tokens):
+    async def restore_end_mark(tokens):
         for engine in system.engines.values():
             if engine is not engine_of(system, tokens):
                 engine.drop_end_mark = False
 
-    tokens = await read(system.client(), on={1: mend})
+    tokens = await read(system.client(), on={1: restore_end_mark})
     conftest.assert_whole(tokens, 40)
 
 
-async def test_a_crossed_reply_is_dropped(system):
+async def test_a_reply_for_another_request_is_dropped(system):
     # The caller sees its own answer. One engine answers with another
     # request's tokens; the first of them ends that attempt, and the other
     # engine serves the request.
@@ -93,7 +93,7 @@
         assert tokens[0].startswith('m2-')
 
 
-async def test_without_an_engine_of_the_version_the_refusal_is_honest(
+async def test_without_an_engine_of_the_same_version_the_request_fails(
     make_system,
 ):
     # The caller sees an error event after its 10 tokens. The only other
@@ -111,7 +111,7 @@
     assert caught.value.ran is errors.Ran.YES
 
 
-async def test_a_crasher_costs_two_engines_and_no_more(make_system):
+async def test_a_poison_request_crashes_two_engines_at_most(make_system):
     # The caller sees a refusal, and again one under a new key. Its content
     # kills each engine that runs it; the second death names it, and the
     # other engines live.
@@ -125,23 +125,23 @@
     assert len(alive) == 2
 
 
-async def test_an_innocent_beside_a_crasher_is_served(make_system):
+async def test_a_request_beside_a_poison_request_completes(make_system):
     # The caller sees its whole answer. A crasher kills the engine under
     # it; both are suspects then, but they go on to different engines, and
     # the second death names the crasher alone.
     system = await make_system(engines=4)
-    crashers = []
+    poison_requests = []
 
-    async def send_crasher(tokens):
+    async def send_poison_request(tokens):
         prompt = [{'role': 'user', 'content': 'hello CRASH'}]
-        crashers.append(
+        poison_requests.append(
             asyncio.ensure_future(read(system.client(), prompt=prompt))
         )
 
-    tokens = await read(system.client(), 60, on={5: send_crasher})
+    tokens = await read(system.client(), 60, on={5: send_poison_request})
     conftest.assert_whole(tokens, 60)
     with pytest.raises(errors.RequestError):
-        await crashers[0]
+        await poison_requests[0]
 
 
 async def test_a_key_used_for_another_content_is_refused(system):
@@ -165,13 +165,13 @@
     caller = system.client()
 
     async def stop_entry(tokens):
-        await system.kill_entry(serving(system))
+        await system.kill_entry(serving_entry(system))
 
     tokens = await read(caller, on={10: stop_entry})
     conftest.assert_whole(tokens, 40)
 
 
-async def test_a_text_older_than_copies_are_kept_is_still_taken_over(
+async def test_takeover_of_an_answer_longer_than_the_copy_retention(
     make_system,
 ):
     # The answer takes several times as long as pointers and copies are
@@ -179,13 +179,13 @@
     system = await make_system(entries=3, gap_s=0.02, copies={'keep_s': 0.4})
 
     async def stop_entry(tokens):
-        await system.kill_entry(serving(system))
+        await system.kill_entry(serving_entry(system))
 
     tokens = await read(system.client(), 90, on={80: stop_entry})
     conftest.assert_whole(tokens, 90)
 
 
-def serving(system):
+def serving_entry(system):
     """Return the name of the entry that has the running generation."""
     return next(
         name for name, entry in system.entries.items() if entry.streams.running
@@ -234,7 +234,7 @@
     assert answer['error']['step'] == 'resume'
 
 
-async def test_a_caller_that_left_has_its_stream_kept_then_cancelled(
+async def test_an_abandoned_stream_is_kept_then_cancelled(
     make_system,
 ):
     # The caller goes after 3 tokens. Its stream is kept for orphan_s, so
@@ -273,7 +273,7 @@
     assert system.engines[served[0]].requests == 1
 
 
-async def test_an_engine_that_asks_for_no_work_is_left_before_the_list_says(
+async def test_an_engine_that_reports_leaving_gets_no_new_requests(
     system,
 ):
     # The platform's list lags: it still shows the engine as live. The
@@ -286,7 +286,7 @@
     assert leaving.requests <= 1
 
 
-async def test_a_crasher_sent_through_another_entry_is_known_there(
+async def test_poison_request_suspects_are_shared_by_all_entries(
     make_system,
 ):
     # A crasher kills one engine, and its entry is lost with it. Sent again
@@ -328,7 +328,7 @@
     draining = []
 
     async def drain(tokens):
-        entry = system.entries[serving(system)]
+        entry = system.entries[serving_entry(system)]
         draining.append(asyncio.ensure_future(entry.drain()))
         await asyncio.sleep(0)
         status, _, answer = await system.post(
@@ -362,21 +362,21 @@
     assert system.engines['m1'].requests >= 1
 
 
-async def test_an_engine_that_grows_slow_is_not_taken_for_dead(make_system):
+async def test_an_engine_that_slows_down_is_not_replaced(make_system):
     # The engine slows down to ten times its gap. The silence limit follows
     # its gaps, and the stream stays where it is.
     system = await make_system(
         gap_s=0.005, recovery={'min_gap_s': 0.03, 'max_gap_s': 2.0}
     )
 
-    def slow(gap_s):
-        async def act(tokens):
+    def set_gap(gap_s):
+        async def slow_down(tokens):
             for engine in system.engines.values():
                 engine.gap_s = gap_s
 
-        return act
+        return slow_down
 
-    steps = {20: slow(0.012), 40: slow(0.025), 60: slow(0.05)}
+    steps = {20: set_gap(0.012), 40: set_gap(0.025), 60: set_gap(0.05)}
     tokens = await read(system.client(), 80, on=steps)
     conftest.assert_whole(tokens, 80)
     assert sum(e.requests for e in system.engines.values()) == 1
@@ -388,7 +388,7 @@
     system = await make_system(entries=3)
 
     async def kill_peers(tokens):
-        own = serving(system)
+        own = serving_entry(system)
         for name in [n for n in system.entries if n != own]:
             await system.kill_entry(name)
 
@@ -406,11 +406,11 @@
     )
     for engine in system.engines.values():
         engine.gap_s = 0.005
-    await system.kill_entry(serving(system))
+    await system.kill_entry(serving_entry(system))
     conftest.assert_whole(await reading, 4)
 
 
-async def test_a_quiet_engine_is_told_from_a_lost_entry(make_system):
+async def test_a_stalled_engine_is_not_mistaken_for_a_lost_entry(make_system):
     # The engine pauses for longer than the client waits for any sign of
     # its entry. The entry's comment lines show that it lives; the client
     # stays, and gets the rest when the engine goes on.
@@ -428,7 +428,7 @@
     assert engine.requests == 1
 
 
-async def test_an_error_of_our_own_ends_the_request_honestly(system):
+async def test_an_internal_error_ends_the_request_at_once(system):
     # A decision raises what nobody expected. The caller hears so at once,
     # instead of waiting for an answer that no task works on any more.
     def fail(*args, **options):
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -45,7 +45,7 @@
     return tokens[0].partition('-')[0]
 
 
-def serving(deployment):
+def serving_entry(deployment):
     """Return the name of the entry that has the running generation."""
     return next(
         name
@@ -81,7 +81,7 @@
     killed = []
 
     def kill(tokens):
-        killed.append(serving(deployment))
+        killed.append(serving_entry(deployment))
         deployment.kill(killed[0])
 
     await read(deployment, kill)
@@ -96,7 +96,7 @@
     frozen = []
 
     def freeze(tokens):
-        frozen.append(serving(deployment))
+        frozen.append(serving_entry(deployment))
         deployment.kill(frozen[0], signal.SIGSTOP)
 
     await read(deployment, freeze)
@@ -108,7 +108,7 @@
     killed = []
 
     def kill(tokens):
-        killed.extend((serving(deployment), engine_of(tokens)))
+        killed.extend((serving_entry(deployment), engine_of(tokens)))
         for name in killed:
             deployment.kill(name)
 
@@ -122,7 +122,7 @@
     drained = []
 
     def drain(tokens):
-        drained.append(serving(deployment))
+        drained.append(serving_entry(deployment))
         deployment.kill(drained[0], signal.SIGTERM)
 
     await read(deployment, drain)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -41,7 +41,7 @@
     assert system.booking.runs == {'oven-1': 1}
 
 
-async def test_a_crossed_answer_is_not_taken_for_the_bookings(system):
+async def test_an_answer_for_another_request_is_rejected(system):
     # The caller sees "unknown": the answer names another request.
     system.booking.crossed = True
     with pytest.raises(errors.RequestError) as caught:
@@ -49,7 +49,7 @@
     assert caught.value.ran is errors.Ran.UNKNOWN
 
 
-async def test_told_not_run_means_closed_for_good(system):
+async def test_a_call_reported_as_not_run_cannot_run_later(system):
     # The caller hears "no" since nothing accepted the connection. The
     # claim is closed before that is said, so that even the same key sent
     # again, with the service back, can't run what was said not to run.
@@ -118,7 +118,7 @@
     )
 
 
-async def resend_elsewhere(system, name):
+async def resend(system, name):
     """Send a booking's key again, through what entries are left."""
     with pytest.raises(errors.RequestError) as caught:
         await book(system, key=name)
@@ -137,7 +137,7 @@
     first = start_booking(system, name)
     await conftest.until(lambda: system.booking.runs)
     await system.kill_entry('e1')
-    error = await resend_elsewhere(system, name)
+    error = await resend(system, name)
     assert (error.status, error.ran) == (409, errors.Ran.UNKNOWN)
     assert system.booking.runs == {'oven-1': 1}
     await asyncio.gather(first, return_exceptions=True)
@@ -151,23 +151,25 @@
     system = await make_system(entries=2)
     reached = asyncio.Event()
 
-    class Stuck:
+    class HangingService:
         async def call(self, address, call):
             reached.set()
             await asyncio.Event().wait()
 
-    system.entries['e1'].server.services.services = Stuck()
+    system.entries['e1'].server.services.services = HangingService()
     name = key()
     first = start_booking(system, name)
     await reached.wait()
     await system.kill_entry('e1')
-    error = await resend_elsewhere(system, name)
+    error = await resend(system, name)
     assert error.ran is errors.Ran.UNKNOWN
     assert not system.booking.runs
     await asyncio.gather(first, return_exceptions=True)
 
 
-async def test_control_lost_after_the_claim_delays_the_answer_little(system):
+async def test_losing_control_after_the_claim_does_not_block_the_answer(
+    system,
+):
     # Control is gone between the claim and the record of the outcome. The
     # caller gets its answer; the record is tried on in the background.
     system.booking.delay_s = 0.2
