--- a/src/bulrushhold/entry/_attempts.py
+++ b/src/bulrushhold/entry/_attempts.py
@@ -16,7 +16,7 @@
     :param counted: its engine's death has been counted.
     :param reached: its request may have reached the engine.
     :param reserved: tokens spent from the budget, if it was a reserve.
-    :param suspect: it counts among the suspects on its engine.
+    :param poison_suspect: it counts among the suspects on its engine.
     """
 
     number: int
@@ -24,7 +24,7 @@
     last_event_at: float
     started: bool = False
     crash_counted: bool = False
-    suspect: bool = False
+    poison_suspect: bool = False
     connected: bool = True
     hedge_tokens: int = 0
     task: asyncio.Task[None] | None = None
--- a/src/bulrushhold/entry/_quarantine.py
+++ b/src/bulrushhold/entry/_quarantine.py
@@ -26,7 +26,7 @@
         """Have the content refused by every entry."""
 
     @abc.abstractmethod
-    def suspect(self, fingerprints: list[str]) -> None:
+    def report_crash(self, fingerprints: list[str]) -> None:
         """Tell every entry that an engine died under these contents."""
 
 
@@ -66,7 +66,7 @@
         self.refuse_streams(frozenset(self.pending))
         self.spawn(self._propose_quarantine(fingerprint, reason))
 
-    def suspect(self, fingerprints: list[str]) -> None:
+    def report_crash(self, fingerprints: list[str]) -> None:
         """Tell every entry that an engine died under these contents."""
         self.spawn(self._propose(messages.Suspected(fingerprints)))
 
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -167,13 +167,13 @@
         transcript = generation.transcript
         version = state.server.models[generation.spec.model]
         number = transcript.start_attempt(version)
-        suspect = self.suspects.is_suspect(generation.spec.fingerprint)
+        poison_suspect = self.suspects.is_suspect(generation.spec.fingerprint)
         attempt = _attempts.Attempt(
-            number, state, time.monotonic(), suspect=suspect
+            number, state, time.monotonic(), poison_suspect=poison_suspect
         )
         live[number] = attempt
         state.own += 1
-        state.suspects += suspect
+        state.suspects += poison_suspect
         self.running.setdefault(state.server.name, []).append(
             (generation, attempt)
         )
@@ -305,7 +305,7 @@
     ) -> None:
         state = attempt.state
         state.own -= 1
-        state.suspects -= attempt.suspect
+        state.suspects -= attempt.poison_suspect
         affected = self.running.get(state.server.name, [])
         with contextlib.suppress(ValueError):
             affected.remove((generation, attempt))
@@ -385,7 +385,7 @@
             self.quarantine.add(fingerprint, QUARANTINE_REASON)
         others = sorted(set(contents) - set(quarantined))
         if others:
-            self.quarantine.suspect(others)
+            self.quarantine.report_crash(others)
 
     async def _await_crash_probe(
         self, generation: _generation.Generation
