--- a/src/bulrushhold/entry/__init__.py
+++ b/src/bulrushhold/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry process: callers' streams and calls, and operators' edits."""
+"""The entry process: serves callers' requests and operators' edits."""
 
 from bulrushhold.entry._admission import Admission
 from bulrushhold.entry._control import ControlClient
--- a/src/bulrushhold/entry/_admission.py
+++ b/src/bulrushhold/entry/_admission.py
@@ -1,4 +1,4 @@
-"""Admits requests within limits and weights, or refuses at once."""
+"""Admission control: fair queueing by weight and per-row quotas."""
 
 import asyncio
 import collections.abc as cabc
@@ -25,9 +25,11 @@
 
 @attrs.define(eq=False)
 class Slot:
-    """An admitted request's place; given back by :meth:`Admission.leave`.
+    """A request's slot, returned by :meth:`Admission.release`.
 
-    :param expected: tokens it was charged for beforehand.
+    :param expected: tokens charged in advance.
+    :param queued: the request went through the fair queue.
+    :param granted: completed once the request may start.
     """
 
     row: messages.Row
@@ -37,7 +39,10 @@
 
 
 class Admission:
-    """Fair queue, quotas and the home's side of quotas of one entry."""
+    """Fair queue and quotas of one entry.
+
+    The entry also grants quota leases for the rows whose home it is.
+    """
 
     def __init__(
         self,
@@ -67,7 +72,7 @@
         transport.handle(messages.QuotaAsk, self._on_quota_ask)
 
     def set_capacity(self, engine_slots: int) -> None:
-        """Take in how many requests all engines run well at once."""
+        """Set the total number of engine slots of all engines."""
         names = [entry.name for entry in self.entries()]
         if names != self.entry_names:
             self.entry_names = names
@@ -78,10 +83,10 @@
         self._pump()
 
     async def enter(self, row: messages.Row) -> Slot:
-        """Wait for a place for a generation.
+        """Wait for a slot for a generation.
 
-        :raises RequestError: at once, where the row's limits or the queue
-            can't give one before the deadline; with when to come back.
+        :raises RequestError: immediately, with ``retry_after``, if the
+            row's limits or the queue allow no start before the deadline.
         """
         expected = self.expected.get(row.key, DEFAULT_EXPECTED_TOKENS)
         share = self._share(row)
@@ -97,7 +102,9 @@
             else (share.retry_after(self.clock()))
         )
         if delay > row.deadline_s:
-            raise self._refusal(row, 'the limits of the row are used', delay)
+            raise self._refusal(
+                row, 'the limits of the row are exhausted', delay
+            )
         slot = Slot(
             row,
             expected,
@@ -113,25 +120,27 @@
         return slot
 
     async def acquire_call(self, row: messages.Row) -> Slot:
-        """Take a place for a plain call: limits apply, but no queue.
+        """Take a slot for a plain call, subject to limits but not queued.
 
-        Look-ups so stay quick beside long generations.
+        Short calls would otherwise wait behind long generations.
 
-        :raises RequestError: where the row's limits are used.
+        :raises RequestError: if the row's limits are exhausted.
         """
         share = self._share(row)
         await self._await_lease(share)
         now = self.clock()
         if not share.allows(now):
             raise self._refusal(
-                row, 'the limits of the row are used', share.retry_after(now)
+                row,
+                'the limits of the row are exhausted',
+                share.retry_after(now),
             )
         share.start(1.0, now)
         done = asyncio.get_running_loop().create_future()
         return Slot(row, 1.0, False, done)
 
     def release(self, slot: Slot, tokens: int) -> None:
-        """Give a place back, and charge the tokens really used."""
+        """Return a slot and charge the tokens actually used."""
         self._release(slot, tokens)
         if slot.queued:
             key = slot.row.key
@@ -148,7 +157,7 @@
             self._pump()
 
     async def sweep(self) -> None:
-        """Renew leases in use, and start what has come to be allowed."""
+        """Renew leases in use and start requests that are now allowed."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             now = self.clock()
@@ -176,40 +185,40 @@
                 await slot.granted
         except BaseException as error:
             if slot.granted.done() and not slot.granted.cancelled():
-                # Granted in the turn in which the caller left.
+                # Granted in the same event loop iteration as the cancellation.
                 self._release(slot, 0)
             else:
                 self.queue.remove(row.key, slot)
             if isinstance(error, TimeoutError):
                 raise self._refusal(
-                    row, 'no place before the deadline', row.deadline_s
+                    row, 'no free slot before the deadline', row.deadline_s
                 ) from None
             raise
         finally:
             share.waiting -= 1
 
     def _places_row(self) -> messages.Row:
-        """Return a row whose limit is what all engines run at once."""
+        """Return a row whose concurrency limit is the engine slots."""
         return messages.Row(
             '', ENGINE_QUOTA_WORK, 1.0, 0.0, self.engine_slots, 1.0, 0, True
         )
 
     def _capacity(self, now: float) -> int:
-        """Return this entry's places: by weights, or else an equal part.
+        """Return the number of engine slots that this entry may use.
 
-        Places are leased like a row's limit, in proportion to the weights
-        of the rows in use at each entry. Without a home they are split
-        evenly: that bends the weights, but wastes no engine.
+        Slots are leased like a row's limit, in proportion to the weights
+        of the rows in use at each entry. If no home can be reached, they
+        are split evenly, which ignores the weights but idles no engine.
         """
         if self.places.leased(now):
             return max(1, self.places.slots_now(now))
         return max(1, self.engine_slots // self.places.entries)
 
     def _weight_in_use(self) -> float:
-        """Return the weights in use here, each account's split by entries.
+        """Return the sum of the weights of the rows in use here.
 
-        An account large enough for several entries has its callers spread
-        over them, and claims a part of its weight at each.
+        A large account's callers are spread over several entries, so its
+        weight is divided by their number.
         """
         weights = self.accounts()
         total = sum(weights.values()) or 1.0
@@ -224,7 +233,7 @@
         return max(weight, 0.001)
 
     def _pump(self) -> None:
-        """Give places to those whose turn it is."""
+        """Grant free slots to the next requests in the fair queue."""
         now = self.clock()
         self.queue.capacity = self._capacity(now)
         self.places.running = self.queue.running
@@ -236,7 +245,7 @@
 
         while (slot := self.queue.pop(ready)) is not None:
             if slot.granted.done():
-                # It gave up in the same moment; its place is free again.
+                # The request was cancelled; its slot is free again.
                 self.queue.done(slot.row.key, slot.expected, 0.0, now)
                 continue
             self._share(slot.row).start(slot.expected, now)
@@ -255,7 +264,7 @@
         return share
 
     async def _await_lease(self, share: decisions.QuotaShare) -> None:
-        """Ask for the first lease before judging by it."""
+        """Wait for the first lease, so that limits can be checked."""
         leased = self.clock() < share.granted_from + decisions.QUOTA_LEASE_S
         if not share.limited or leased or share.allows(self.clock()):
             if share.limited and not leased:
--- a/src/bulrushhold/entry/_attempts.py
+++ b/src/bulrushhold/entry/_attempts.py
@@ -1,4 +1,4 @@
-"""One run of a generation on one engine, and the watch over its silence."""
+"""Attempts of a generation on engines, and the timer for stalled ones."""
 
 import asyncio
 import time
@@ -13,10 +13,15 @@
 class Attempt:
     """One attempt of a generation on one engine.
 
-    :param counted: its engine's death has been counted.
-    :param reached: its request may have reached the engine.
-    :param reserved: tokens spent from the budget, if it was a reserve.
-    :param poison_suspect: it counts among the suspects on its engine.
+    :param last_event_at: monotonic seconds of the last event, or of the
+        start.
+    :param started: the engine has sent an event.
+    :param crash_counted: its engine's crash has been counted.
+    :param poison_suspect: the request may be a poison request.
+    :param connected: ``False`` if the connection failed, so that the
+        request can't have reached the engine.
+    :param hedge_tokens: tokens charged to the work budget for a hedged
+        attempt.
     """
 
     number: int
@@ -31,10 +36,10 @@
 
 
 class StallTimer:
-    """Wakes a generation's task when its attempts have been silent.
+    """Wakes a generation's task once its attempts have stalled.
 
-    Only then: a task woken for each check would cost a fifth of what the
-    tokens themselves cost.
+    The checks run as timer callbacks, since waking the task for each one
+    is expensive.
     """
 
     def __init__(
@@ -50,13 +55,14 @@
         self.loss_only = False
         most_recent = self._most_recent()
         silence = time.monotonic() - most_recent.last_event_at
-        # Past the first limit, or with a reserve, only a loss is waited for.
+        # After the first timeout, or with a hedged attempt, only the loss
+        # timeout remains.
         self.loss_only = len(live) > 1 or silence >= self._timeout(most_recent)
         self.handle: asyncio.TimerHandle | None = None
         self._check()
 
     def cancel(self) -> None:
-        """Check no more."""
+        """Stop the timer."""
         if self.handle is not None:
             self.handle.cancel()
 
--- a/src/bulrushhold/entry/_callerstream.py
+++ b/src/bulrushhold/entry/_callerstream.py
@@ -1,4 +1,4 @@
-"""Writes one generation to one caller as server-sent events."""
+"""Streams a generation to a caller as server-sent events."""
 
 import asyncio
 import time
@@ -18,12 +18,12 @@
 class CallerStream:
     """Sends tokens as they become visible.
 
-    Tokens are written within the call that makes them visible, as long
-    as the connection takes them; a task's wake-up for each token would
-    cost about as much as its relay. Where the caller reads more slowly
-    than the engine writes, the handler's task takes over and waits.
+    While the write buffer is empty, tokens are written directly from the
+    call that makes them visible, which saves a task switch per token. If
+    the caller reads too slowly, the handler's task writes with flow
+    control.
 
-    :param have: tokens that the caller already has.
+    :param received: number of tokens that the caller already has.
     """
 
     def __init__(
@@ -41,9 +41,9 @@
         self.transport: asyncio.Transport | None = None
 
     async def run(self, transport: asyncio.Transport | None) -> None:
-        """Write until the end mark or the refusal is out.
+        """Write events until the end mark or the error event is sent.
 
-        :raises ConnectionResetError: where the caller has left.
+        :raises ConnectionResetError: if the caller has disconnected.
         """
         self.transport = transport
         self.generation.listeners.append(self._on_progress)
@@ -61,10 +61,10 @@
         await self.response.write_eof()
 
     async def _wait(self) -> None:
-        """Wait until there is work here; show life meanwhile.
+        """Wait for more to write, and send keep-alive comments.
 
-        Without the comment lines a caller couldn't tell a frozen entry
-        from an engine that takes its time.
+        Without them a caller couldn't tell a frozen entry from a slow
+        engine.
         """
         await self.wakeup.wait()
         self.wakeup.clear()
@@ -79,7 +79,7 @@
         return time.monotonic() - self.sent_at
 
     def _check_keep_alive(self) -> None:
-        """Wake the task once nothing was sent for a while."""
+        """Wake the task when a keep-alive comment is due."""
         remaining = KEEP_ALIVE_INTERVAL_S - self._idle_s()
         if remaining <= 0:
             self.wakeup.set()
@@ -103,7 +103,7 @@
         if not data:
             return
         try:
-            # With an empty buffer this write ends without waiting.
+            # With an empty buffer this write completes without suspending.
             self.response.write(data).send(None)
         except StopIteration:
             return
@@ -115,14 +115,14 @@
             await self.response.write(data)
 
     def _take_events(self) -> bytes:
-        """Return events for what is visible and not yet sent."""
+        """Return events for the tokens that are visible but not yet sent."""
         start, self.sent = self.sent, max(self.sent, self.generation.visible)
         self.sent_at = time.monotonic()
         return _events(self.generation.transcript.tokens, start, self.sent)
 
 
 def _events(tokens: list[str], start: int, stop: int) -> bytes:
-    """Return server-sent events for tokens; the id is the offset."""
+    """Encode tokens as server-sent events with their offset as the id."""
     events = []
     for offset in range(start, stop):
         delta = _encode(tokens[offset])
@@ -134,7 +134,7 @@
 
 
 def _final_events(generation: _generation.Generation) -> bytes:
-    """Return the end mark, or the event of an honest refusal."""
+    """Encode the end mark, or an error event."""
     if generation.error is not None:
         return b'event: error\ndata: %b\n\n' % _encode(generation.error.body())
     finish = _encode(generation.transcript.finish)
--- a/src/bulrushhold/entry/_control.py
+++ b/src/bulrushhold/entry/_control.py
@@ -1,4 +1,4 @@
-"""The entry's side of control: commands and the table in force."""
+"""Client of the control instances, and a local copy of the table."""
 
 import asyncio
 import collections.abc as cabc
@@ -19,10 +19,10 @@
 
 
 class ControlClient:
-    """Finds the leader and asks it.
+    """Sends requests to the control leader, and finds a new one.
 
-    Every command names itself (edit id, claim holder), so that one whose
-    answer was lost is simply sent again.
+    Commands carry an id (edit id, claim holder), so that one whose reply
+    was lost can be sent again.
     """
 
     def __init__(
@@ -35,11 +35,11 @@
     async def propose(
         self, command: messages.Message, deadline_s: float
     ) -> t.Any:
-        """Have a command committed, and return its result.
+        """Commit a command and return its result.
 
-        :param deadline_s: seconds to go on trying.
-        :raises PeerError: where that isn't known to have happened; the
-            command may yet be committed.
+        :param deadline_s: seconds for which to retry.
+        :raises PeerError: if no commit was confirmed; the command may
+            still be committed.
         """
         proposal = messages.Proposal(messages.encode(command))
         reply = await self._request(proposal, PROPOSAL_TIMEOUT_S, deadline_s)
@@ -53,16 +53,16 @@
     async def read(
         self, request: messages.Message, deadline_s: float
     ) -> t.Any:
-        """Ask the leader for something it answers under its lease.
+        """Send a read that the leader serves under its lease.
 
-        :raises PeerError: where no leader answered in time.
+        :raises PeerError: if no leader answered in time.
         """
         return await self._request(request, READ_TIMEOUT_S, deadline_s)
 
     async def read_status(self) -> dict[str, t.Any]:
-        """Return the status of the leader, or of whoever answers.
+        """Return the status of the leader, or else of another replica.
 
-        :raises PeerError: where no control instance answered.
+        :raises PeerError: if no control instance answered.
         """
         last_error: errors.PeerError | None = None
         status: messages.StatusReply | None = None
@@ -77,7 +77,9 @@
             if status.role == 'leader':
                 break
         if status is None:
-            raise last_error or errors.PeerError('no control', 'status')
+            raise last_error or errors.PeerError(
+                'no control instance answered', 'status'
+            )
         return attrs.asdict(status)
 
     async def _request(
@@ -89,7 +91,7 @@
             remaining = end - time.monotonic()
             if remaining <= 0:
                 raise last_error or errors.PeerError(
-                    'no leader', 'control', self.leader
+                    'no control leader answered', 'control', self.leader
                 )
             try:
                 reply = await self.transport.request(
@@ -118,10 +120,11 @@
 
 
 class TableView:
-    """The table in force at this entry; its revision only grows.
+    """This entry's copy of the table; its revision never decreases.
 
-    :param confirmed_at: monotonic seconds at which the last poll that a
-        leader answered under its lease was sent.
+    ``confirmed_at`` is the monotonic time at which the last poll that a
+    leader answered was sent. The callbacks in ``changed`` run after each
+    update.
     """
 
     def __init__(
@@ -144,14 +147,14 @@
 
     @property
     def known(self) -> bool:
-        """Whether a leader has ever confirmed a table."""
+        """Whether a leader has confirmed the table at least once."""
         return self.confirmed_at is not None
 
     def in_force(self) -> bool:
-        """Whether new work may be judged by this table.
+        """Whether new requests may be admitted under this table.
 
-        A cut-off entry could go on with limits that operators have long
-        taken back; the setting ``when_table_stale`` decides.
+        A partitioned entry may hold outdated limits; the setting
+        ``when_table_stale`` decides whether it keeps serving.
         """
         if self.confirmed_at is None:
             return False
@@ -170,7 +173,7 @@
             await asyncio.sleep(self.config.table_poll_s)
 
     async def poll(self) -> None:
-        """Ask for changes once, and take them in."""
+        """Fetch and apply changes once."""
         sent_at = self.clock()
         read = messages.TableRead(
             self.revision, self.config.name, self.refusals_revision
@@ -179,11 +182,11 @@
         self.take(reply, sent_at)
 
     def take(self, reply: messages.TableReply, sent_at: float) -> None:
-        """Take in a leader's answer to a poll sent at ``sent``."""
+        """Apply a leader's reply to a poll sent at ``sent_at``."""
         if reply.revision < self.revision:
-            # Only a leader of a log that lost commits could say this.
+            # Possible only if the control log lost committed entries.
             loguru.logger.error(
-                'table revision {} after {}; not taken',
+                'table revision {} is older than {}; ignored',
                 reply.revision,
                 self.revision,
             )
