--- a/src/bulrushhold/entry/_copywriter.py
+++ b/src/bulrushhold/entry/_copywriter.py
@@ -1,4 +1,4 @@
-"""Sends transcripts to this entry's copy peers before they are shown."""
+"""Replicates transcripts to peer entries before callers see them."""
 
 import asyncio
 import time
@@ -19,7 +19,11 @@
 
 @attrs.define(eq=False)
 class _Peer:
-    """One copy peer and the streams that it lags behind in."""
+    """A peer that holds copies of this entry's transcripts.
+
+    :param dirty: generations with tokens that the peer hasn't stored.
+    :param down_until: monotonic seconds until which it counts as down.
+    """
 
     address: str
     dirty: dict[str, _generation.Generation] = attrs.field(factory=dict)
@@ -28,11 +32,11 @@
 
 
 class CopyWriter:
-    """Appends the tokens of all streams, batched per peer.
+    """Replicates the tokens of all streams, batched per peer.
 
-    One batch at a time is under way to a peer, and batches are at least
-    ``batch_s`` apart: an idle entry sends each token at once, and a busy
-    one sends the tokens of many streams in one message.
+    Each peer has at most one batch in flight, and batches are at least
+    ``batch_s`` apart: an idle entry sends each token immediately, a loaded
+    one combines the tokens of many streams in one message.
     """
 
     def __init__(
@@ -49,9 +53,9 @@
         self.unfinished: dict[str, _generation.Generation] = {}
 
     def set_peers(self, addresses: list[str]) -> None:
-        """Write to these peers from now on.
+        """Replace the set of peers.
 
-        A new peer first gets the transcripts that are open.
+        A new peer first receives all unfinished transcripts.
         """
         for address in set(self.peers) - set(addresses):
             del self.peers[address]
@@ -68,7 +72,7 @@
             self._update_visible(generation)
 
     def replicate(self, generation: _generation.Generation) -> None:
-        """Learn that a transcript has grown or ended."""
+        """Send a transcript's new tokens or its end to the peers."""
         self.unfinished[generation.key] = generation
         if not self.peers:
             self._update_visible(generation)
@@ -83,17 +87,17 @@
             self._update_visible(generation)
 
     async def close(self) -> None:
-        """Stop writing."""
+        """Stop replicating."""
         tasks = list(self.tasks.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _update_visible(self, generation: _generation.Generation) -> None:
-        """Let the caller see what every live peer holds.
+        """Make visible the tokens that every live peer has stored.
 
-        With no live peer the tokens are shown all the same: waiting
-        would turn the loss of copies into the loss of the answer.
+        With no live peer all tokens become visible, so that losing the
+        copies doesn't also stop the answer.
         """
         now = time.monotonic()
         acked = [
@@ -188,7 +192,7 @@
         for generation in [*batch, *self.unfinished.values()]:
             self._update_visible(generation)
         await asyncio.sleep(LOST_PEER_RETRY_S)
-        # A peer that was restarted has nothing: all goes there again.
+        # A restarted peer has lost its copies, so everything is sent again.
         for generation in self.unfinished.values():
             generation.acked.pop(peer.address, None)
         peer.dirty = dict(self.unfinished)
--- a/src/bulrushhold/entry/_generation.py
+++ b/src/bulrushhold/entry/_generation.py
@@ -1,4 +1,4 @@
-"""One caller's generation: its transcript and who waits for it."""
+"""A caller's generation: its transcript and the readers waiting for it."""
 
 import asyncio
 import collections.abc as cabc
@@ -13,10 +13,11 @@
 
 @attrs.frozen
 class GenerationSpec:
-    """What the caller asked for, checked.
+    """A validated generation request.
 
-    :param fingerprint: of the content, the same under any key.
-    :param max_tokens: length at which the engine ends the answer.
+    :param work: kind of work, which selects the row of limits.
+    :param fingerprint: hash of the content, independent of the key.
+    :param max_tokens: maximum length of the answer.
     """
 
     account: str
@@ -29,27 +30,27 @@
 
     @property
     def affinity(self) -> str:
-        """The prompt's beginning, whose engine cache is worth keeping."""
+        """The start of the prompt, for routing by prefix cache."""
         first = self.messages[0].get('content', '')
         return str(first)[:512]
 
     @property
     def prompt_tokens(self) -> int:
-        """A rough count of the prompt's tokens, to bound extra work."""
+        """Estimate the number of prompt tokens, to bound extra work."""
         size = sum(len(str(m.get('content', ''))) for m in self.messages)
         return size // 4 + 1
 
 
 class Generation:
-    """A generation in progress or just ended.
+    """A generation that is running or has recently ended.
 
-    :param key: account and idempotency key.
-    :param epoch: fences former entries that served the same key.
-
-    ``since`` is the epoch that began the text.
+    ``since`` is the epoch in which the text was started. The first
+    ``visible`` tokens may be sent to the caller. ``acked`` maps each peer
+    to the number of tokens it has stored. ``attempt_changed`` is set when
+    an attempt starts to deliver, ends or stalls.
 
-    ``visible`` tokens may be shown to the caller; ``acked`` tells for
-    each copy peer how many it holds.
+    :param key: account and idempotency key.
+    :param epoch: fences entries that served the same key before.
     """
 
     def __init__(self, key: str, spec: GenerationSpec, epoch: int) -> None:
@@ -74,23 +75,23 @@
 
     @property
     def fully_visible(self) -> bool:
-        """Whether the caller may see the end mark."""
+        """Whether the answer is finished and all of it is visible."""
         finished = bool(self.transcript.finish)
         return finished and self.visible == len(self.transcript.tokens)
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will be shown."""
+        """Whether nothing more will become visible."""
         return self.error is not None or self.fully_visible
 
     def advance_visible(self, length: int) -> None:
-        """Let readers see the first ``length`` tokens."""
+        """Make the first ``length`` tokens visible to readers."""
         if length > self.visible or self.transcript.finish:
             self.visible = max(self.visible, length)
             self.notify()
 
     def fence(self, peer: str) -> None:
-        """Stop: another entry serves this key with a higher epoch."""
+        """Fail because another entry owns this key with a higher epoch."""
         if self.error is None and not self.lifecycle.ended:
             self.lifecycle.move('fence')
             self.fail(
@@ -104,13 +105,13 @@
             )
 
     def fail(self, error: errors.RequestError) -> None:
-        """End with an honest refusal."""
+        """End with an error."""
         self.error = error
         self.attempt_changed.set()
         self.notify()
 
     def notify(self) -> None:
-        """Tell the readers that there is more, or the end."""
+        """Notify readers of new tokens or the end."""
         for listener in self.listeners:
             listener()
         if not self._waiters:
@@ -121,7 +122,7 @@
                 waiter.set_result(None)
 
     async def wait(self) -> None:
-        """Wait until there is more to read, or the end."""
+        """Wait for new tokens or the end."""
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
         await waiter
--- a/src/bulrushhold/entry/_keys.py
+++ b/src/bulrushhold/entry/_keys.py
@@ -1,4 +1,4 @@
-"""Who serves a key: pointers at its homes, and taking a key over."""
+"""Ownership of idempotency keys, and takeover from another entry."""
 
 import asyncio
 import collections.abc as cabc
@@ -23,10 +23,10 @@
 
 @attrs.frozen
 class KeyOwnership:
-    """A key that this entry now serves.
+    """A key that this entry has acquired.
 
-    :param since: the epoch that began its text.
-    :param former: what the former entry had written, if it was found.
+    :param since: epoch in which the text was started.
+    :param former: transcript of the previous owner, if one was found.
     """
 
     epoch: int
@@ -35,7 +35,7 @@
 
 
 class KeyTaker:
-    """Registers this entry for a key, and fetches what exists of it."""
+    """Registers this entry as a key's owner and fetches its transcript."""
 
     def __init__(
         self,
@@ -59,18 +59,18 @@
         transport.handle(messages.CopyTake, self._on_take)
 
     def new_epoch(self) -> int:
-        """Return an epoch that no other entry uses: time, then name."""
+        """Return a unique epoch: time, with a hash of the name appended."""
         return (int(time.time() * 1000) << 16) | self.epoch_suffix
 
     async def take(
         self, key: str, fingerprint: str, received: int
     ) -> KeyOwnership:
-        """Become the one entry that serves a key.
+        """Become the only owner of a key.
 
-        :param have: tokens that the caller has.
-        :raises RequestError: where the key was used for another content,
-            its homes can't be asked, or what the caller has may be of a
-            text that can't be found.
+        :param received: number of tokens that the caller already has.
+        :raises RequestError: if the key was used for other content, too
+            few of its homes answer, or the caller's tokens may belong to
+            a text of which no copy was found.
         """
         epoch = self.new_epoch()
         no_majority = False
@@ -86,7 +86,7 @@
                 no_majority = True
                 continue
             if found.epoch > epoch:
-                # A clock behind another's: go on from the epoch in force.
+                # This clock is behind: continue from the current epoch.
                 epoch = (((found.epoch >> 16) + 1) << 16) | self.epoch_suffix
                 continue
             copy = await self._take_copies(key, epoch, found)
@@ -108,7 +108,7 @@
         if no_majority:
             raise self._no_majority()
         raise errors.RequestError(
-            'other entries are taking this request over',
+            'other entries are taking over this request',
             'key',
             status=409,
             ran=errors.Ran.UNKNOWN,
@@ -117,7 +117,7 @@
 
     def _no_majority(self) -> errors.RequestError:
         return errors.RequestError(
-            'too few entries that would know the key can be asked',
+            'too few homes of the idempotency key can be reached',
             'key',
             ran=errors.Ran.UNKNOWN,
             status=503,
@@ -127,19 +127,19 @@
     async def _begin_text(
         self, key: str, epoch: int, fingerprint: str
     ) -> bool:
-        """Say at a majority of homes that a new text begins."""
+        """Register the start of a new text at a majority of homes."""
         found = await self._take_pointers(key, epoch, fingerprint, begins=True)
         return found.majority and found.epoch == epoch
 
     async def still_owned(
         self, key: str, epoch: int, fingerprint: str
     ) -> bool:
-        """Whether no other entry has taken a key over from this one.
+        """Whether this entry still owns a key.
 
-        A caller may come back to an entry that doesn't know yet that
-        another one has served it in between, maybe from another text.
+        A caller may reconnect to an entry that hasn't noticed a takeover
+        by another one, which may have started a different text.
 
-        :raises RequestError: where too few homes can be asked.
+        :raises RequestError: if too few homes answer.
         """
         for _ in range(MAX_ROUNDS):
             found = await self._take_pointers(key, epoch, fingerprint)
@@ -150,10 +150,10 @@
     def refresh(
         self, key: str, epoch: int, since: int, fingerprint: str
     ) -> None:
-        """Tell the homes of a key that this entry serves it, and wait not.
+        """Renew this entry's ownership at a key's homes, without waiting.
 
-        A text that runs for minutes would else be forgotten by its homes,
-        and a home that has come anew wouldn't learn of it.
+        Otherwise the homes of a long-running text would expire its
+        pointer, and a new home would never learn of it.
         """
         take = messages.PointerTake(
             key, epoch, fingerprint, self.copies(), since=since
--- a/src/bulrushhold/entry/_members.py
+++ b/src/bulrushhold/entry/_members.py
@@ -1,4 +1,4 @@
-"""Probes the other entries, and answers their probes."""
+"""Failure detection among entries by periodic probes."""
 
 import asyncio
 import collections.abc as cabc
@@ -16,7 +16,7 @@
 
 
 class Prober:
-    """Drives the membership decisions over the transport."""
+    """Runs the membership protocol over the transport."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         transport.handle(messages.MemberNews, self._on_news)
 
     async def run(self, period_s: float = PERIOD_S) -> None:
-        """Probe one entry each period, until cancelled."""
+        """Probe one entry per period until cancelled."""
         while True:
             started = self.clock()
             target = self.membership.next_target()
@@ -43,10 +43,10 @@
             await asyncio.sleep(max(0.0, period_s - spent))
 
     def leave(self) -> None:
-        """Tell every entry that this one takes nothing new.
+        """Announce to every entry that this one accepts no new requests.
 
-        One message each, once: riding on probes alone, the word would
-        take a period for each doubling of those who know it.
+        Sent directly, since gossip on probes takes several periods to
+        reach all entries.
         """
         news = self.membership.leave()
         for member in self.membership.members.values():
--- a/src/bulrushhold/entry/_operators.py
+++ b/src/bulrushhold/entry/_operators.py
@@ -1,4 +1,4 @@
-"""What operators ask of an entry: the table and the quarantine."""
+"""HTTP routes for operators: the table and the quarantine."""
 
 import hmac
 import time
@@ -21,9 +21,9 @@
 
 
 class OperatorRoutes:
-    """Pulls, pushes and lifts, for those who hold the operator key.
+    """Routes to pull and push the table and to lift quarantines.
 
-    :param key: the operator key; ``''`` refuses everyone.
+    :param key: operator key; ``''`` rejects all requests.
     """
 
     def __init__(self, control: _control.ControlClient, key: str) -> None:
@@ -31,7 +31,7 @@
         self.key = key
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes."""
+        """Return the aiohttp route definitions."""
         return [
             web.get('/v1/table', self._pull),
             web.post('/v1/table', self._push),
@@ -83,7 +83,7 @@
                 body=_encode({'accepted': False, 'cells': cells}),
                 content_type=_JSON,
             )
-        # Where the base is too old this finds no rows; control refuses it.
+        # Finds no rows if the base is too old; control then rejects the edit.
         base_table = await self._read(messages.TableRead(0, '', at=base))
         changed, removed = decisions.difference(base_table.rows, rows)
         edit = messages.TableEdit(
--- a/src/bulrushhold/entry/_quarantine.py
+++ b/src/bulrushhold/entry/_quarantine.py
@@ -1,4 +1,4 @@
-"""Contents that kill engines, as a generation's runner sees them."""
+"""Quarantine of poison requests, which crash the engines they run on."""
 
 import abc
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class Quarantine(abc.ABC):
-    """Who may refuse a content everywhere."""
+    """Quarantines contents at all entries."""
 
     @abc.abstractmethod
     def refused(self, fingerprint: str) -> bool:
@@ -23,19 +23,21 @@
 
     @abc.abstractmethod
     def add(self, fingerprint: str, reason: str) -> None:
-        """Have the content refused by every entry."""
+        """Quarantine a content at all entries."""
 
     @abc.abstractmethod
     def report_crash(self, fingerprints: list[str]) -> None:
-        """Tell every entry that an engine died under these contents."""
+        """Report to all entries the contents on a crashed engine."""
 
 
 class SharedQuarantine(Quarantine):
-    """Refuses contents here at once, and everywhere through control.
+    """Quarantines contents here immediately, and at all entries by control.
 
-    :param refuse: has this entry's streams of these contents refused.
-    :param spawn: runs work in the background.
-    :param poll_s: seconds until the table here has what control has.
+    ``pending`` holds the contents that the table doesn't list yet.
+
+    :param refuse_streams: fails this entry's streams of these contents.
+    :param spawn: runs a coroutine in the background.
+    :param poll_s: seconds between polls of the table.
     """
 
     def __init__(
@@ -61,13 +63,13 @@
         )
 
     def add(self, fingerprint: str, reason: str) -> None:
-        """Have the content refused by every entry."""
+        """Quarantine a content at all entries."""
         self.pending.add(fingerprint)
         self.refuse_streams(frozenset(self.pending))
         self.spawn(self._propose_quarantine(fingerprint, reason))
 
     def report_crash(self, fingerprints: list[str]) -> None:
-        """Tell every entry that an engine died under these contents."""
+        """Report to all entries the contents on a crashed engine."""
         self.spawn(self._propose(messages.Suspected(fingerprints)))
 
     async def _propose(self, command: messages.Message) -> None:
@@ -80,6 +82,6 @@
         await self._propose(
             messages.Quarantine(fingerprint, reason, time.time())
         )
-        # From here on control's list counts, so that operators can lift.
+        # By now the table lists it. Kept here, a lift would have no effect.
         await asyncio.sleep(2 * self.poll_s)
         self.pending.discard(fingerprint)
