--- a/src/bulrushhold/client.py
+++ b/src/bulrushhold/client.py
@@ -1,8 +1,8 @@
-"""The caller's side: asks which entries to use, and sticks to the answer.
+"""Client library for callers.
 
-A caller needs no more than HTTP; this thin library does what a careful
-caller does. It keeps the list of entries a while, names each request with
-a key, and goes on at another entry from the last token it has.
+Callers can also use plain HTTP. The library caches the list of entries,
+sends an idempotency key with each request, and resumes an interrupted answer
+at another entry from the last token received.
 """
 
 import asyncio
@@ -29,17 +29,17 @@
 
 @attrs.frozen
 class Answer:
-    """A plain service's answer."""
+    """A plain service's response."""
 
     status: int
     body: bytes
 
 
 class Client:
-    """Uses the system for one client account.
+    """Client for one client account.
 
-    :param seeds: addresses of entries known beforehand.
-    :param deadline_s: seconds for which a request is tried on.
+    :param seeds: addresses of entries to ask for the list of entries.
+    :param deadline_s: seconds for which a request is retried.
     """
 
     def __init__(
@@ -79,10 +79,10 @@
         work: str = 'chat',
         key: str = '',
     ) -> cabc.AsyncGenerator[str, None]:
-        """Yield the tokens of one answer, whole.
+        """Yield all tokens of an answer.
 
-        :raises RequestError: where the system refuses, or no entry could
-            be reached until the deadline.
+        :raises RequestError: if the request is refused, or no entry could
+            be reached before the deadline.
         """
         key = key or str(uuid_utils.uuid7())
         body = {
@@ -108,7 +108,7 @@
                             f'token {offset} after {received}', entry
                         )
                     received += 1
-                    # Each token shows that the system is alive.
+                    # The deadline applies to the time without progress.
                     end = time.monotonic() + self.deadline_s
                     yield token
                 raise _stream_error('the stream ended early', entry)
@@ -133,10 +133,11 @@
     ) -> Answer:
         """Call a plain service.
 
-        A call that may run once keeps its key through every try, so that
-        a try whose answer was lost can't run it again.
+        All tries use the same key, so that a call that isn't idempotent
+        runs at most once even if a response is lost.
 
-        :raises RequestError: with ``ran`` as far as it is known.
+        :raises RequestError: with ``ran`` saying whether the call was
+            made, as far as is known.
         """
         key = key or str(uuid_utils.uuid7())
         end = time.monotonic() + self.deadline_s
@@ -173,7 +174,7 @@
     ) -> cabc.AsyncGenerator[tuple[int | None, str], None]:
         url = f'http://{entry}/v1/chat/completions'
         all_headers = {**headers, 'Bulrushhold-Account': self.account}
-        # An entry shows life twice a second, also while its engine is quiet.
+        # Entries send keep-alive comments while an engine is slow.
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=1.0, sock_read=READ_TIMEOUT_S
         )
@@ -252,7 +253,7 @@
 def _error_in(
     status: int, content: bytes, entry: str
 ) -> errors.RequestError | None:
-    """Return the system's error in an answer; a service's own is none."""
+    """Return the error in a response, ``None`` for a service's own error."""
     if status < 400:
         return None
     try:
@@ -274,5 +275,5 @@
 
 
 def _retry_elsewhere(error: errors.RequestError) -> bool:
-    """Whether another entry may go on with the same key."""
+    """Whether to retry at another entry with the same key."""
     return error.status == 503 or error.step in ('fenced', 'entry')
--- a/src/bulrushhold/entry/_requests.py
+++ b/src/bulrushhold/entry/_requests.py
@@ -1,4 +1,4 @@
-"""Checks callers' requests before anything is done with them."""
+"""Validation of callers' requests."""
 
 import collections.abc as cabc
 import typing as t
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class ChatBody:
-    """The body of a chat completion, as far as the system reads it."""
+    """The fields of a chat completion body that the system uses."""
 
     model: str = attrs.field(validator=_VALIDATORS.min_len(1))
     messages: list[dict[str, t.Any]] = attrs.field(
@@ -43,14 +43,14 @@
 
 
 def bad_request(reason: str, status: int = 400) -> errors.RequestError:
-    """Return the refusal of a request that was not understood."""
+    """Return the error for an invalid request."""
     return errors.RequestError(reason, 'request', status=status)
 
 
 def read_chat(body: bytes) -> ChatBody:
-    """Return the checked body of a chat completion.
+    """Decode and validate the body of a chat completion.
 
-    :raises RequestError: telling the field and what is wrong with it.
+    :raises RequestError: with the invalid field and the reason.
     """
     try:
         return _BODIES.decode(body)
@@ -64,9 +64,9 @@
     accounts: cabc.Container[str],
     work: str,
 ) -> messages.Row:
-    """Return the table's row for a request.
+    """Return the table row that applies to a request.
 
-    :raises RequestError: where the account is unknown, or may not do
+    :raises RequestError: if the account is unknown, or has no row for
         that kind of work.
     """
     account = headers.get(ACCOUNT_HEADER, '')
@@ -83,7 +83,7 @@
 
 
 def make_spec(chat: ChatBody, row: messages.Row) -> _generation.GenerationSpec:
-    """Return the order for a generation, with its fingerprint."""
+    """Return the generation spec of a request, with its fingerprint."""
     content = msgspec.json.encode((chat.model, chat.messages, chat.max_tokens))
     return _generation.GenerationSpec(
         row.account,
@@ -97,22 +97,22 @@
 
 
 def read_key(headers: cabc.Mapping[str, str]) -> str:
-    """Return the idempotency key, or ``''`` where there is none.
+    """Return the idempotency key, or ``''`` if there is none.
 
-    :raises RequestError: where it is too long or not printable.
+    :raises RequestError: if it is too long or not printable ASCII.
     """
     key = headers.get(KEY_HEADER, '')
     if len(key) > MAX_KEY_LENGTH or not (key.isprintable() and key.isascii()):
         raise bad_request(
-            f'header {KEY_HEADER} must be printable, 128 at most'
+            f'header {KEY_HEADER} must be printable ASCII, 128 at most'
         )
     return key
 
 
 def read_resume(headers: cabc.Mapping[str, str]) -> int:
-    """Return how many tokens the caller has: last offset plus one.
+    """Return the number of tokens the caller has: last offset plus one.
 
-    :raises RequestError: where the header is no offset.
+    :raises RequestError: if the header is not a valid offset.
     """
     text = headers.get(RESUME_HEADER, '')
     if not text:
@@ -123,12 +123,12 @@
 
 
 def key_time(key: str) -> float:
-    """Return the time that a UUIDv7 key carries, seconds since the epoch.
+    """Return the timestamp of a UUIDv7 key, in seconds since the epoch.
 
-    RFC 9562: its first 48 bits are milliseconds. Claims are forgotten by
-    it, so that a late resend is known to be late.
+    The first 48 bits are milliseconds (RFC 9562). Claims expire by this
+    time, so that a retry after the expiry can be detected.
 
-    :raises RequestError: where the key isn't a UUIDv7.
+    :raises RequestError: if the key isn't a UUIDv7.
     """
     try:
         parsed = uuid.UUID(key)
@@ -136,7 +136,7 @@
         parsed = None
     if parsed is None or parsed.version != 7:
         raise bad_request(
-            f'header {KEY_HEADER} must be a UUIDv7 for a call that may not '
-            'be repeated'
+            f'header {KEY_HEADER} must be a UUIDv7 for a call that is not '
+            'idempotent'
         )
     return (parsed.int >> 80) / 1000
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -1,4 +1,4 @@
-"""Runs generations: attempts on engines until one answer is whole."""
+"""Runs generations: attempts on engines until the answer is complete."""
 
 import asyncio
 import contextlib
@@ -24,7 +24,7 @@
 
 
 class GenerationRunner:
-    """Dispatches, watches and continues generations."""
+    """Dispatches generations to engines, and recovers from lost engines."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self.background: set[asyncio.Task[None]] = set()
 
     async def run(self, generation: _generation.Generation) -> None:
-        """Bring a generation to its end: whole, or refused."""
+        """Run a generation until it is complete or has failed."""
         live: dict[int, _attempts.Attempt] = {}
         slot: _admission.Slot | None = None
         initial = len(generation.transcript.tokens)
@@ -67,8 +67,8 @@
                 generation.lifecycle.move('refuse')
                 generation.fail(error)
         except Exception:
-            # Unexpected; without an end the caller would wait for ever for
-            # an answer that no task works on.
+            # Without an error the caller would wait forever, since no task
+            # runs this generation any more.
             loguru.logger.exception('generation failed')
             if not generation.lifecycle.ended:
                 generation.lifecycle.move('refuse')
@@ -122,10 +122,10 @@
                 generation, QUARANTINE_REASON, status=422, retry=None
             )
         if transcript.last_attempt >= self.config.max_attempts:
-            raise self._refusal(generation, 'too many engines were lost')
+            raise self._refusal(generation, 'too many attempts have failed')
         if not self.retries.allows(spec.account, transcript.last_attempt):
             raise self._refusal(
-                generation, 'the retry budget of the account is spent'
+                generation, 'the retry budget of the account is exhausted'
             )
         choice = self.router.choose_engine(
             spec.model,
@@ -184,13 +184,13 @@
         attempt.task = asyncio.get_running_loop().create_task(
             self._read(generation, attempt)
         )
-        # A callback: a task cancelled before its first step runs no line.
+        # A callback, since a task cancelled before it starts runs no code.
         attempt.task.add_done_callback(
             lambda _: self._detach(generation, attempt)
         )
 
     def _engine_listed(self, generation: _generation.Generation) -> bool:
-        """Whether an engine of the needed model and version is listed."""
+        """Whether an engine with the required model version is listed."""
         spec = generation.spec
         version = generation.transcript.version
         return any(
@@ -241,7 +241,7 @@
         attempt: _attempts.Attempt,
         event: ports.Event,
     ) -> bool:
-        """Take one event; return whether to go on reading."""
+        """Process an event; return whether to continue reading."""
         transcript = generation.transcript
         verdict = transcript.accept(
             event.request,
@@ -275,7 +275,7 @@
         if generation.last_token_at:
             gap = time.monotonic() - generation.last_token_at
             self.metrics.time('resume', gap)
-        # The supervisor learns which contender won.
+        # Lets the generation's task stop the attempts that lost.
         generation.attempt_changed.set()
 
     def _reject_event(
@@ -321,7 +321,7 @@
         attempt.state.failed(time.monotonic())
         generation.failed_engines.add(attempt.state.server.name)
         if error.final and not generation.lifecycle.ended:
-            # Another engine would find the same fault in the request.
+            # The request itself is invalid; any engine would refuse it.
             attempt.state.succeeded()
             generation.lifecycle.move('refuse')
             generation.fail(
@@ -360,14 +360,13 @@
         state: decisions.BackendState,
         affected: list[tuple[_generation.Generation, _attempts.Attempt]],
     ) -> None:
-        """Count a death, where the engine is really gone.
+        """Count a crash if the engine no longer accepts connections.
 
-        A stream that broke alone, on an engine that still accepts
-        connections, makes nobody a suspect.
+        If only the stream broke, no request becomes a poison suspect.
         """
         if await self.engines.alive(state.server.address):
             return
-        # Who found the engine dead already can't have killed it.
+        # A request that couldn't connect can't have crashed the engine.
         affected = [
             (g, attempt) for g, attempt in affected if attempt.connected
         ]
@@ -390,10 +389,10 @@
     async def _await_crash_probe(
         self, generation: _generation.Generation
     ) -> None:
-        """Let a suspect go on only when its engine's fate is known.
+        """Delay a poison suspect until its engine's probe has finished.
 
-        Without the wait, a crashing request could reach a third engine
-        before the second death has named it.
+        Otherwise a poison request could crash a third engine before the
+        second crash has been counted.
         """
         if not self.suspects.is_suspect(generation.spec.fingerprint):
             return
@@ -407,7 +406,7 @@
         generation: _generation.Generation,
         live: dict[int, _attempts.Attempt],
     ) -> None:
-        """Wait for an attempt's end or for its silence."""
+        """Wait until an attempt starts to deliver, ends or stalls."""
         generation.attempt_changed.clear()
         self._remove_ended(generation, live)
         if not live or generation.transcript.finish:
@@ -462,7 +461,7 @@
         generation: _generation.Generation,
         live: dict[int, _attempts.Attempt],
     ) -> None:
-        """Stop the attempts that another one has overtaken."""
+        """Stop the attempts that lost to another attempt."""
         contenders = generation.transcript.contenders
         for attempt in list(live.values()):
             ended = attempt.task is not None and attempt.task.done()
@@ -489,7 +488,7 @@
         attempt: _attempts.Attempt,
         live: dict[int, _attempts.Attempt],
     ) -> None:
-        """Hear an attempt no more, and tell its engine."""
+        """Stop an attempt, and cancel it at its engine."""
         live.pop(attempt.number, None)
         generation.transcript.end_attempt(attempt.number)
         if attempt.task is None or attempt.task.done():
--- a/src/bulrushhold/entry/_server.py
+++ b/src/bulrushhold/entry/_server.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP interface to callers and operators."""
+"""HTTP interface of an entry for callers and operators."""
 
 import asyncio
 import contextlib
@@ -34,7 +34,7 @@
 
 
 class EntryServer:
-    """Answers HTTP requests with what the entry's parts decide."""
+    """Serves callers' HTTP requests."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
 
     @property
     def busy(self) -> int:
-        """Requests in progress."""
+        """The number of requests in progress."""
         return self.streams.running + self.calls
 
     # Errors and admission
@@ -129,9 +129,10 @@
         )
 
     def _check_accepting(self) -> None:
-        """Refuse new work where this entry mustn't take any.
+        """Check that this entry accepts new requests.
 
-        :raises RequestError: with ``ran`` ``no``.
+        :raises RequestError: with ``ran`` ``no``, if it is draining or
+            its table isn't confirmed.
         """
         others = ', '.join(
             instance.http
@@ -166,7 +167,7 @@
         chat = _requests.read_chat(await request.read())
         account = request.headers.get(_requests.ACCOUNT_HEADER, '')
         if f'{account}/{key}' not in self.streams.generations:
-            # A stream that is here may be read on while the entry drains.
+            # Existing streams can still be read while the entry drains.
             self._check_accepting()
         work = request.headers.get(
             _requests.WORK_HEADER, _requests.DEFAULT_WORK
@@ -177,7 +178,7 @@
             raise _requests.bad_request(f'unknown model {chat.model!r}', 404)
         if spec.fingerprint in self.table.quarantined:
             raise errors.RequestError(
-                'this content is quarantined: it killed two engines',
+                'this content is quarantined: it crashed two engines',
                 'quarantine',
                 status=422,
             )
@@ -233,7 +234,7 @@
     ) -> web.StreamResponse:
         await self._await_first(generation, received)
         if generation.error is not None and generation.visible <= received:
-            # Before the first byte, a refusal can still be an HTTP status.
+            # Before the first byte, an error can still be an HTTP status.
             raise generation.error
         response = web.StreamResponse(
             headers={
@@ -250,7 +251,7 @@
     async def _await_first(
         self, generation: _generation.Generation, received: int
     ) -> None:
-        """Wait for the first token, or as long as headers may be late."""
+        """Wait for the first token, but no longer than headers may take."""
 
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(MAX_HEADER_DELAY_S):
@@ -301,11 +302,11 @@
     ) -> ports.ServiceAnswer:
         if not key:
             raise _requests.bad_request(
-                f'header {_requests.KEY_HEADER} is needed: this call may '
-                'not be repeated'
+                f'header {_requests.KEY_HEADER} is needed: this call is '
+                'not idempotent'
             )
-        # Shielded: a caller who leaves must not stop the call between its
-        # run and the record of its outcome.
+        # Shielded, so that a caller's disconnect can't stop the call before
+        # its outcome is recorded.
         return await asyncio.shield(
             asyncio.ensure_future(
                 self.services.call_once(service, row, call, key)
@@ -325,7 +326,7 @@
             account, share, self.view.listed(), data_centre
         )
         if len(chosen) > decisions.SMALL_ACCOUNT_ENTRIES:
-            # Callers use the first: a large account's are to be spread.
+            # Callers use the first entry; this spreads a large account.
             random.shuffle(chosen)
         body = {
             'entries': [instance.http for instance in chosen],
--- a/src/bulrushhold/entry/_services.py
+++ b/src/bulrushhold/entry/_services.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: repeated freely, or claimed and run once."""
+"""Calls of plain services: idempotent ones, and ones run at most once."""
 
 import asyncio
 import time
@@ -43,9 +43,9 @@
     async def call_idempotent(
         self, service: str, row: messages.Row, call: ports.ServiceCall
     ) -> ports.ServiceAnswer:
-        """Make an idempotent call; another server gets it on a failure.
+        """Make an idempotent call, retrying on other servers.
 
-        :raises RequestError: where every try failed in the deadline.
+        :raises RequestError: if every try failed or the deadline passed.
         """
         end = time.monotonic() + row.deadline_s
         tried: set[str] = set()
@@ -77,9 +77,10 @@
         call: ports.ServiceCall,
         key: str,
     ) -> ports.ServiceAnswer:
-        """Make a call that may run once, under a claim.
+        """Make a call at most once, under a claim on its key.
 
-        :raises RequestError: with ``ran`` as far as it is known.
+        :raises RequestError: with ``ran`` saying whether the call was
+            made, as far as is known.
         """
         name = f'{row.account}/{key}'
         holder = str(uuid_utils.uuid4())
@@ -101,11 +102,10 @@
         try:
             return await self.control.propose(claim, CLAIM_TIMEOUT_S)
         except errors.PeerError as error:
-            # The claim may still be committed, for this holder only, and
-            # this holder won't run it: a later try learns "unknown" at
-            # worst, never a second run.
+            # The claim may still be committed, but this holder won't make
+            # the call. A retry gets "unknown" at worst, never a second run.
             raise errors.RequestError(
-                'no majority of control to claim the run',
+                'the claim was not confirmed by a majority of control',
                 'claim',
                 error.peer,
                 ran=errors.Ran.UNKNOWN,
@@ -116,16 +116,19 @@
     def _replay_outcome(
         self, outcome: messages.ClaimOutcome
     ) -> ports.ServiceAnswer:
-        """Answer a key that was claimed before, from its outcome."""
+        """Answer a repeated key with the recorded outcome."""
         if outcome.state == 'done' and outcome.ran == 'yes':
             return ports.ServiceAnswer(
                 outcome.status, outcome.body, 'application/json'
             )
         reasons = {
-            'open': ('the call is under way, or its entry was lost', 409),
-            'done': ('the call was made and its outcome is unknown', 409),
+            'open': ('the call is in progress, or its entry was lost', 409),
+            'done': ('the call was made, but its outcome is unknown', 409),
             'closed': ('the call was refused before; use a new key', 409),
-            'expired': ('the key is too old to know what became of it', 410),
+            'expired': (
+                'the key is too old; its outcome is no longer known',
+                410,
+            ),
             'mismatch': ('the key was used for another request', 422),
         }
         reason, status = reasons[outcome.state]
@@ -170,10 +173,10 @@
     async def _refuse_claimed(
         self, service: str, claim: messages.Claim
     ) -> t.NoReturn:
-        """Close the claim, then say that the call was not run.
+        """Close the claim, then report that the call was not made.
 
-        In the other order, a caller that hears ``no`` and tries again
-        could meet a claim that still looks as if it were running.
+        In the opposite order, a retry could find a claim that still looks
+        as if the call were in progress.
         """
         closed = await self._end_claim(
             claim, errors.Ran.NO, 0, b'', CLOSE_CLAIM_TIMEOUT_S
@@ -186,10 +189,10 @@
     async def _record_outcome(
         self, claim: messages.Claim, answer: ports.ServiceAnswer
     ) -> None:
-        """Record an outcome, but don't keep the caller waiting for it.
+        """Record an outcome, waiting only briefly.
 
-        While control has no leader the record is tried on in the
-        background; a resend until then hears that the call is under way.
+        If control has no leader, recording is retried in the background;
+        until then, a repeated key gets the reply for a call in progress.
         """
         work = asyncio.get_running_loop().create_task(
             self._end_claim(claim, errors.Ran.YES, answer.status, answer.body)
@@ -261,7 +264,7 @@
     def _no_server(self, service: str) -> errors.RequestError:
         listed = self.router.has_kind(service)
         return errors.RequestError(
-            f'no server of service {service!r}',
+            f'no server for service {service!r}',
             'route',
             status=503 if listed else 404,
             retry_after=RETRY_AFTER_S if listed else None,
--- a/src/bulrushhold/entry/_streams.py
+++ b/src/bulrushhold/entry/_streams.py
@@ -1,4 +1,4 @@
-"""Generations served by this entry: found, started, kept and ended."""
+"""Registry of the generations that this entry serves."""
 
 import asyncio
 import time
@@ -17,7 +17,7 @@
 
 
 class Streams:
-    """All generations of this entry, by key."""
+    """Starts, looks up, expires and cancels generations by key."""
 
     def __init__(
         self,
@@ -43,11 +43,11 @@
         *,
         owned: bool,
     ) -> _generation.Generation:
-        """Return the generation of a key, started or continued.
+        """Return the generation of a key, starting it if necessary.
 
-        :param have: tokens that the caller already has.
-        :param ours: the key was made here, so nobody else can know it.
-        :raises RequestError: where the answer can't honestly go on.
+        :param received: number of tokens that the caller already has.
+        :param owned: the key was created here, so no other entry knows it.
+        :raises RequestError: if the answer can't be continued correctly.
         """
         lock = self.open_locks.setdefault(key, asyncio.Lock())
         async with lock:
@@ -75,7 +75,7 @@
         return generation
 
     def cancel(self, generation: _generation.Generation, reason: str) -> None:
-        """End a generation that nobody wants any more."""
+        """Cancel a generation that has no readers."""
         if not generation.lifecycle.ended:
             generation.lifecycle.move('cancel')
         generation.fail(
@@ -87,7 +87,7 @@
             generation.task.cancel()
 
     def refuse_quarantined(self, quarantined: frozenset[str]) -> None:
-        """End the generations whose content is quarantined by now."""
+        """Fail the generations whose content is quarantined."""
         for generation in self.generations.values():
             refused = generation.spec.fingerprint in quarantined
             if refused and not generation.lifecycle.ended:
@@ -102,7 +102,7 @@
                 )
 
     async def sweep(self) -> None:
-        """Cancel streams whose caller left; forget old ones."""
+        """Cancel abandoned streams and expire old ones."""
         while True:
             await asyncio.sleep(min(SWEEP_INTERVAL_S, self._refresh_s / 2))
             now = time.monotonic()
@@ -137,15 +137,15 @@
             not generation.ended
             and abandoned_s > self.config.recovery.orphan_s
         ):
-            self.cancel(generation, 'the caller left')
+            self.cancel(generation, 'the caller disconnected')
 
     @property
     def running(self) -> int:
-        """Generations that haven't ended."""
+        """The number of generations that haven't ended."""
         return sum(not g.ended for g in self.generations.values())
 
     async def _needs_restart(self, generation: _generation.Generation) -> bool:
-        """Whether the caller's return needs a new start here."""
+        """Whether a reconnecting caller needs a new generation object."""
         state = generation.lifecycle.state
         if state in ('fenced', 'cancelled'):
             return True
@@ -167,8 +167,8 @@
         owned: bool,
     ) -> _generation.Generation:
         if owned:
-            # Register without waiting: the caller learns the key with the
-            # first bytes of the answer, not before.
+            # No need to wait: the caller doesn't know the key before the
+            # first bytes of the answer.
             epoch = self.keys.new_epoch()
             self.keys.refresh(key, epoch, epoch, spec.fingerprint)
             ownership = _keys.KeyOwnership(epoch, epoch, None)
@@ -197,6 +197,6 @@
     transcript.tokens = list(former.tokens)
     transcript.version = former.version
     transcript.finish = former.finish
-    # What a former entry wrote to its copies may have been shown: it is
-    # settled, and shown again without waiting.
+    # The previous owner may have shown these tokens, so they are final and
+    # visible immediately.
     generation.advance_visible(len(transcript.tokens))
--- a/src/bulrushhold/entry/_view.py
+++ b/src/bulrushhold/entry/_view.py
@@ -1,4 +1,4 @@
-"""What this entry takes for live: the platform's list and its own signs."""
+"""The instances this entry considers live, by list and by probes."""
 
 import asyncio
 import time
@@ -15,10 +15,10 @@
 
 
 class PlatformView:
-    """Follows the platform's list.
+    """Polls the platform's list of instances.
 
-    The last list stays in use while the platform can't be asked: an
-    outage of the list must not become an outage of the system.
+    The last list stays in use while the platform is unreachable, so that
+    its outage doesn't stop the system.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
 
     @property
     def own_instance(self) -> ports.Instance:
-        """This entry as others should see it."""
+        """This entry as an instance."""
         return ports.Instance(
             self.config.name,
             self.config.data_centre,
@@ -47,7 +47,7 @@
         )
 
     def listed(self) -> list[ports.Instance]:
-        """Return the entries that callers may use."""
+        """Return the listed entries that are live and not leaving."""
         return [
             entry
             for entry in self.entries
@@ -55,14 +55,14 @@
         ]
 
     def copy_peers(self) -> list[str]:
-        """Return the addresses that hold this entry's transcripts."""
+        """Return the addresses of the peers for transcript copies."""
         peers = decisions.copy_peers(
             self.own_instance, self.listed(), self.config.copies.count
         )
         return [peer.peer for peer in peers]
 
     def engine_slots(self) -> int:
-        """Return the requests that all listed engines run well at once."""
+        """Return the total number of slots of the listed engines."""
         return sum(
             state.server.slots
             for state in self.router.states.values()
@@ -72,7 +72,7 @@
         )
 
     def has_model(self, model: str) -> bool:
-        """Whether any engine is listed with a model."""
+        """Whether any listed engine has the model."""
         return any(
             model in state.server.models
             for state in self.router.states.values()
@@ -85,11 +85,11 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def poll(self) -> None:
-        """Ask the platform once."""
+        """Fetch and apply the list once."""
         try:
             platform = await self.platform.fetch()
         except errors.PeerError as error:
-            loguru.logger.warning('platform list: {}', error)
+            loguru.logger.warning('platform list not fetched: {}', error)
             return
         self.updated_at = time.monotonic()
         if platform is None:
