--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -165,7 +165,7 @@
     caller = system.client()
 
     async def stop_entry(tokens):
-        await system.kill_entry(serving_entry(system))
+        await system.kill_entry(serving(system))
 
     tokens = await read(caller, on={10: stop_entry})
     conftest.assert_whole(tokens, 40)
@@ -179,13 +179,13 @@
     system = await make_system(entries=3, gap_s=0.02, copies={'keep_s': 0.4})
 
     async def stop_entry(tokens):
-        await system.kill_entry(serving_entry(system))
+        await system.kill_entry(serving(system))
 
     tokens = await read(system.client(), 90, on={80: stop_entry})
     conftest.assert_whole(tokens, 90)
 
 
-def serving_entry(system):
+def serving(system):
     """Return the name of the entry that has the running generation."""
     return next(
         name for name, entry in system.entries.items() if entry.streams.running
@@ -328,7 +328,7 @@
     draining = []
 
     async def drain(tokens):
-        entry = system.entries[serving_entry(system)]
+        entry = system.entries[serving(system)]
         draining.append(asyncio.ensure_future(entry.drain()))
         await asyncio.sleep(0)
         status, _, answer = await system.post(
@@ -388,7 +388,7 @@
     system = await make_system(entries=3)
 
     async def kill_peers(tokens):
-        own = serving_entry(system)
+        own = serving(system)
         for name in [n for n in system.entries if n != own]:
             await system.kill_entry(name)
 
@@ -406,7 +406,7 @@
     )
     for engine in system.engines.values():
         engine.gap_s = 0.005
-    await system.kill_entry(serving_entry(system))
+    await system.kill_entry(serving(system))
     conftest.assert_whole(await reading, 4)
 
 
