--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: a small system within the test's own loop."""
+"""Shared fixtures: a small system inside the test's event loop."""
 
 import asyncio
 import pathlib
@@ -69,7 +69,7 @@
 
 @attrs.define(slots=False)
 class System:
-    """One control replica, entries, engines, a booking service."""
+    """A system of a control replica, entries, engines, a booking service."""
 
     folder: pathlib.Path
     recovery: dict = attrs.field(factory=dict)
@@ -209,7 +209,7 @@
         await self.entries[name].start()
 
     async def kill_entry(self, name):
-        """Cut an entry off from everyone at once, as its death would."""
+        """Close all of an entry's connections at once, as a crash would."""
         entry = self.entries.pop(name)
         await entry.transport.close()
         for generation in entry.streams.generations.values():
@@ -223,7 +223,7 @@
         await entry.close()
 
     async def edit(self, rows, base, edit_id=None):
-        """Push an edit, and wait until every entry has it in force."""
+        """Push an edit and wait until every entry has applied it."""
         edit = messages.TableEdit(
             edit_id or f'edit-{base}', base, 'test', 0.0, rows
         )
@@ -240,7 +240,7 @@
         return caller
 
     async def post(self, path, body, entry='e1', **headers):
-        """Make one plain HTTP request; return status, headers, JSON."""
+        """Send an HTTP request; return status, headers and JSON body."""
         http, _ = self.addresses[entry]
         all_headers = {
             name.replace('_', '-'): value for name, value in headers.items()
@@ -272,10 +272,10 @@
 
 
 async def until(condition, seconds=20.0):
-    """Let the loop run until a condition holds; fail if it never does."""
+    """Wait until a condition holds; fail after ``seconds``."""
     end = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < end, 'the condition never came to hold'
+        assert time.monotonic() < end, 'timed out waiting for the condition'
         await asyncio.sleep(0.005)
 
 
@@ -305,7 +305,7 @@
 
 
 def assert_whole(tokens, count):
-    """All tokens are there, in order, of one generation."""
+    """Assert that all tokens are present, in order, of one generation."""
     generation = tokens[0].partition(':')[0]
     assert tokens == [f'{generation}:{n} ' for n in range(count)]
 
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -1,4 +1,4 @@
-"""Generations: one whole answer, or an honest refusal, through losses."""
+"""Generations are completed, or fail with an error, despite failures."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 
 
 async def read(caller, count=40, prompt=None, on=None, **options):
-    """Read an answer; call ``on[n]`` once n tokens are there."""
+    """Read an answer; call ``on[n]`` after n tokens."""
     tokens = []
     async for token in caller.generate(
         'small', prompt or conftest.PROMPT, max_tokens=count, **options
@@ -33,9 +33,7 @@
 
 
 async def test_an_engine_killed_mid_stream_is_continued_elsewhere(system):
-    # The caller sees a short pause and then the rest. Its engine drops the
-    # connection after 10 tokens; another continues exactly those, so that
-    # no token is missing, repeated or of another generation.
+    # No token may be missing, repeated or from another generation.
     async def kill(tokens):
         await engine_of(system, tokens).crash()
 
@@ -46,9 +44,7 @@
 
 @pytest.mark.parametrize('policy', ['thrifty', 'prompt'])
 async def test_a_frozen_engine_that_wakes_adds_no_token(make_system, policy):
-    # The caller sees one pause. The engine goes silent with its connection
-    # open; after the silence limit another continues. Then the first wakes
-    # and sends on, as attempt 1, which nobody hears any more.
+    # Tokens of a replaced attempt must be ignored once its engine resumes.
     system = await make_system(
         recovery={'policy': policy, 'min_gap_s': 0.1, 'max_gap_s': 0.2}
     )
@@ -66,9 +62,8 @@
 
 
 async def test_a_stream_without_its_end_mark_is_continued(system):
-    # The caller sees nothing of it. The engine closes after all tokens but
-    # before its end mark: whether more was to come isn't known, so another
-    # engine is asked, which has nothing to add.
+    # Without the end mark, the answer may be incomplete even if all tokens
+    # have arrived.
     for engine in system.engines.values():
         engine.drop_end_mark = True
 
@@ -82,9 +77,7 @@
 
 
 async def test_a_reply_for_another_request_is_dropped(system):
-    # The caller sees its own answer. One engine answers with another
-    # request's tokens; the first of them ends that attempt, and the other
-    # engine serves the request.
+    # Another request's tokens must not reach the caller.
     crossed = system.engines['m1']
     crossed.crossed = True
     for _ in range(4):
@@ -96,9 +89,7 @@
 async def test_without_an_engine_of_the_same_version_the_request_fails(
     make_system,
 ):
-    # The caller sees an error event after its 10 tokens. The only other
-    # engine has another version, and a text of it must not be joined to
-    # what was delivered.
+    # Text of another model version must not be appended to delivered tokens.
     system = await make_system(engines=1)
 
     async def kill(tokens):
@@ -112,9 +103,7 @@
 
 
 async def test_a_poison_request_crashes_two_engines_at_most(make_system):
-    # The caller sees a refusal, and again one under a new key. Its content
-    # kills each engine that runs it; the second death names it, and the
-    # other engines live.
+    # The second crash quarantines the content, also under new keys.
     system = await make_system(engines=4)
     prompt = [{'role': 'user', 'content': 'CRASH please'}]
     for _ in range(3):
@@ -126,9 +115,8 @@
 
 
 async def test_a_request_beside_a_poison_request_completes(make_system):
-    # The caller sees its whole answer. A crasher kills the engine under
-    # it; both are suspects then, but they go on to different engines, and
-    # the second death names the crasher alone.
+    # Both requests become suspects, but must be retried on different engines,
+    # so that only the poison request is quarantined.
     system = await make_system(engines=4)
     poison_requests = []
 
@@ -158,9 +146,8 @@
 
 
 async def test_a_lost_entry_is_replaced_by_another(make_system):
-    # The caller's library sees its connection close after 10 tokens, and
-    # asks another entry with the key and the last offset. That one takes
-    # the transcript from the first entry's copy peers and goes on.
+    # The client resumes at another entry, which continues from a copy of the
+    # transcript.
     system = await make_system(entries=3)
     caller = system.client()
 
@@ -174,8 +161,7 @@
 async def test_takeover_of_an_answer_longer_than_the_copy_retention(
     make_system,
 ):
-    # The answer takes several times as long as pointers and copies are
-    # kept. Its entry refreshes them, so that its loss is no end to it.
+    # The entry must refresh pointers and copies while an answer is running.
     system = await make_system(entries=3, gap_s=0.02, copies={'keep_s': 0.4})
 
     async def stop_entry(tokens):
@@ -186,16 +172,14 @@
 
 
 def serving(system):
-    """Return the name of the entry that has the running generation."""
+    """Return the name of the entry with the running generation."""
     return next(
         name for name, entry in system.entries.items() if entry.streams.running
     )
 
 
 async def test_a_former_entry_is_fenced_when_another_takes_over(make_system):
-    # A caller reads at e1, then asks e2 with the same key. e2 continues
-    # its tokens; e1's next append is refused by its peers, and its reader
-    # gets an error event instead of a second copy of the answer.
+    # Otherwise two entries would continue the same answer in different ways.
     system = await make_system(entries=3, gap_s=0.02)
     body = json.dumps(
         {
@@ -237,8 +221,7 @@
 async def test_an_abandoned_stream_is_kept_then_cancelled(
     make_system,
 ):
-    # The caller goes after 3 tokens. Its stream is kept for orphan_s, so
-    # that it may come back; then the engine is told to stop.
+    # After orphan_s without a reader, the engine must be told to stop.
     system = await make_system(
         engines=1, gap_s=0.05, recovery={'orphan_s': 0.1}
     )
@@ -256,8 +239,7 @@
 
 
 async def test_a_leaving_engine_keeps_its_streams_and_gets_none_new(system):
-    # The platform lists an engine as leaving while it serves a stream:
-    # that stream ends there, and all later ones go to the other engine.
+    # The platform lists an engine as leaving while it serves a stream.
     served = []
 
     async def leave(tokens):
@@ -276,8 +258,8 @@
 async def test_an_engine_that_reports_leaving_gets_no_new_requests(
     system,
 ):
-    # The platform's list lags: it still shows the engine as live. The
-    # engine's own reply says that it leaves, and gets nothing new.
+    # The engine's own report must take effect before the platform's list
+    # shows it as leaving.
     leaving = system.engines['m1']
     leaving.leaving = True
     for number in range(12):
@@ -289,9 +271,8 @@
 async def test_poison_request_suspects_are_shared_by_all_entries(
     make_system,
 ):
-    # A crasher kills one engine, and its entry is lost with it. Sent again
-    # through another entry, which has learnt of the first death, it is
-    # named by the second one: two engines in all.
+    # The first crash must still count when the request is retried at another
+    # entry.
     system = await make_system(entries=3, engines=4)
     prompt = [{'role': 'user', 'content': 'CRASH please'}]
     chat = _requests.ChatBody('small', prompt, max_tokens=40)
@@ -322,8 +303,7 @@
 
 
 async def test_a_draining_entry_finishes_its_streams(make_system):
-    # The operator drains an entry in mid-stream. Its caller gets the rest;
-    # a new caller hears ran: no and the other's address.
+    # New requests must be refused with the address of another entry.
     system = await make_system(entries=2, gap_s=0.01)
     draining = []
 
@@ -350,8 +330,8 @@
 async def test_an_engine_frozen_before_its_first_token_is_replaced(
     make_system,
 ):
-    # Callers see a late first token. The chosen engine accepts the request
-    # and says nothing; after first_token_s another one starts afresh.
+    # An engine that accepts a request but sends nothing is replaced after
+    # first_token_s.
     system = await make_system(recovery={'first_token_s': 0.2})
     system.engines['m1'].freeze()
     for number in range(12):
@@ -363,8 +343,7 @@
 
 
 async def test_an_engine_that_slows_down_is_not_replaced(make_system):
-    # The engine slows down to ten times its gap. The silence limit follows
-    # its gaps, and the stream stays where it is.
+    # The stall timeout must adapt to the gaps between tokens.
     system = await make_system(
         gap_s=0.005, recovery={'min_gap_s': 0.03, 'max_gap_s': 2.0}
     )
@@ -383,8 +362,7 @@
 
 
 async def test_without_its_copy_peers_an_entry_still_serves(make_system):
-    # Both peers that hold the copies die in mid-stream. The caller sees a
-    # pause of ack_s, then the rest, shown without copies.
+    # Losing all copies must not stop the answer.
     system = await make_system(entries=3)
 
     async def kill_peers(tokens):
@@ -397,8 +375,7 @@
 
 
 async def test_an_entry_killed_before_the_first_token(make_system):
-    # The caller has nothing yet when its entry dies. Another entry finds
-    # no copy, begins the text, and the first one's is heard no more.
+    # Without a copy, another entry must start the text again.
     system = await make_system(entries=3, gap_s=0.3)
     reading = asyncio.ensure_future(read(system.client(), 4))
     await conftest.until(
@@ -411,9 +388,8 @@
 
 
 async def test_a_stalled_engine_is_not_mistaken_for_a_lost_entry(make_system):
-    # The engine pauses for longer than the client waits for any sign of
-    # its entry. The entry's comment lines show that it lives; the client
-    # stays, and gets the rest when the engine goes on.
+    # Keep-alive comments must keep the client from leaving its entry while
+    # the engine pauses for longer than the client's read timeout.
     system = await make_system(
         engines=1, recovery={'min_gap_s': 20.0, 'max_gap_s': 20.0}
     )
@@ -429,8 +405,7 @@
 
 
 async def test_an_internal_error_ends_the_request_at_once(system):
-    # A decision raises what nobody expected. The caller hears so at once,
-    # instead of waiting for an answer that no task works on any more.
+    # After an unexpected exception, the caller must not wait forever.
     def fail(*args, **options):
         raise KeyError('unexpected')
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes, killed and frozen by signals."""
+"""Recovery when real processes are killed or stopped by signals."""
 
 import asyncio
 import signal
@@ -29,7 +29,7 @@
 
 
 async def read(deployment, act, at=10):
-    """Read an answer, and call ``act`` with the tokens at ``at``."""
+    """Read an answer; call ``act`` after ``at`` tokens."""
     tokens = []
     async with caller_of(deployment) as caller:
         async for token in caller.generate(
@@ -46,7 +46,7 @@
 
 
 def serving_entry(deployment):
-    """Return the name of the entry that has the running generation."""
+    """Return the name of the entry with the running generation."""
     return next(
         name
         for name in deployment.http
@@ -90,9 +90,8 @@
 
 
 async def test_an_entry_frozen_and_woken_while_another_goes_on(deployment):
-    # The caller sees a pause of the client's idle limit: the frozen entry
-    # sends no sign of life. Another entry takes the transcript over and
-    # fences it, so that on waking it adds nothing.
+    # Another entry takes over after the client's read timeout, and must fence
+    # the frozen one, so that it adds no tokens after waking.
     frozen = []
 
     def freeze(tokens):
@@ -136,9 +135,7 @@
 async def test_the_control_leader_lost_while_slots_are_booked(
     deployment, number
 ):
-    # Callers see bookings answered once each, some later than others. The
-    # leader of control dies, or freezes and wakes later, while they book
-    # under keys that they keep through every try.
+    # Retries during the change of leader must not book a slot twice.
     leader = deployment.status()['control']['leader'].partition('.')[0]
     slots = [f'{number.name}-{n}' for n in range(30)]
     async with caller_of(deployment) as caller:
@@ -169,8 +166,7 @@
 
 
 async def test_no_accepted_edit_is_lost_through_leaders(deployment, tmp_path):
-    # An operator pushes edit after edit while one leader after another is
-    # killed. Each push that was accepted is in the table at the end.
+    # Every accepted edit must survive the loss of the leaders.
     path = tmp_path / 'table.csv'
 
     def push_all():
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests: every bad one gets one clear error, and nothing runs."""
+"""Invalid requests are rejected with a clear error before anything runs."""
 
 import json
 import uuid
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Plain services: repeated freely, or run at most once."""
+"""Calls of plain services: idempotent ones, and ones run at most once."""
 
 import asyncio
 import uuid
@@ -29,8 +29,7 @@
 
 
 async def test_a_booking_whose_answer_was_lost_isnt_run_again(system):
-    # The caller sees "unknown". The service books, then its connection
-    # breaks before the answer; sending the call again could book twice.
+    # The connection breaks after the booking; a second try would book twice.
     system.booking.drop_answer = True
     name = key()
     for _ in range(2):
@@ -42,7 +41,7 @@
 
 
 async def test_an_answer_for_another_request_is_rejected(system):
-    # The caller sees "unknown": the answer names another request.
+    # The answer has another request's id.
     system.booking.crossed = True
     with pytest.raises(errors.RequestError) as caught:
         await book(system)
@@ -50,9 +49,8 @@
 
 
 async def test_a_call_reported_as_not_run_cannot_run_later(system):
-    # The caller hears "no" since nothing accepted the connection. The
-    # claim is closed before that is said, so that even the same key sent
-    # again, with the service back, can't run what was said not to run.
+    # The claim must be closed before the reply, or a retry with the same key
+    # could make a call that was reported as not run.
     port = system.booking.port
     await system.booking.stop()
     name = key()
@@ -92,8 +90,7 @@
 
 
 async def test_without_control_a_booking_isnt_run(system):
-    # The caller hears that nothing is known to have run, and nothing did:
-    # no majority, no claim, no run.
+    # Without a majority there is no claim, so the call must not be made.
     await system.stop_control()
     status, _, answer = await system.post(
         '/v1/services/booking/slots',
@@ -107,7 +104,7 @@
 
 
 def start_booking(system, name):
-    """Send a booking through e1, and don't wait for its answer."""
+    """Start a booking through e1 without waiting for the answer."""
     return asyncio.ensure_future(
         system.post(
             '/v1/services/booking/slots',
@@ -119,7 +116,7 @@
 
 
 async def resend(system, name):
-    """Send a booking's key again, through what entries are left."""
+    """Repeat a booking with the same key through the remaining entries."""
     with pytest.raises(errors.RequestError) as caught:
         await book(system, key=name)
     return caught.value
@@ -128,9 +125,7 @@
 async def test_an_entry_killed_between_run_and_reply_means_unknown(
     make_system,
 ):
-    # The caller's entry dies after the service has booked and before the
-    # answer is out. Sent again elsewhere, the key is found claimed with no
-    # outcome: the caller hears "unknown", and nothing is booked twice.
+    # A retry finds a claim without an outcome and must not book again.
     system = await make_system(entries=2)
     system.booking.delay_s = 30.0
     name = key()
@@ -146,8 +141,7 @@
 async def test_an_entry_killed_between_claim_and_run_runs_nothing_more(
     make_system,
 ):
-    # The entry dies with the claim committed and the call not yet sent.
-    # Nobody else can know that, so nobody may run it: "unknown".
+    # No other entry can know that the call wasn't sent, so none may make it.
     system = await make_system(entries=2)
     reached = asyncio.Event()
 
@@ -170,8 +164,7 @@
 async def test_losing_control_after_the_claim_does_not_block_the_answer(
     system,
 ):
-    # Control is gone between the claim and the record of the outcome. The
-    # caller gets its answer; the record is tried on in the background.
+    # The outcome is recorded in the background; the caller must not wait.
     system.booking.delay_s = 0.2
     booking = asyncio.ensure_future(book(system))
     await conftest.until(lambda: system.booking.runs)
