--- a/src/bulrushhold/client.py
+++ b/src/bulrushhold/client.py
@@ -93,10 +93,10 @@
         }
         headers = {'Bulrushhold-Work': work, 'Idempotency-Key': key}
         received = 0
-        end = time.monotonic() + self.deadline_s
+        deadline = time.monotonic() + self.deadline_s
         failed: set[str] = set()
         while True:
-            entry = await self._pick_entry(failed, end)
+            entry = await self._pick_entry(failed, deadline)
             if received:
                 headers['Last-Event-ID'] = str(received - 1)
             try:
@@ -109,15 +109,15 @@
                         )
                     received += 1
                     # The deadline applies to the time without progress.
-                    end = time.monotonic() + self.deadline_s
+                    deadline = time.monotonic() + self.deadline_s
                     yield token
                 raise _stream_error('the stream ended early', entry)
             except _CONNECTION_ERRORS as error:
                 failed = {entry}
-                if time.monotonic() > end:
+                if time.monotonic() > deadline:
                     raise _stream_error(str(error), entry) from error
             except errors.RequestError as error:
-                if not _retry_elsewhere(error) or time.monotonic() > end:
+                if not _retry_elsewhere(error) or time.monotonic() > deadline:
                     raise
                 failed = {entry}
                 await asyncio.sleep(min(RETRY_DELAY_S, error.retry_after or 0))
@@ -140,10 +140,10 @@
             made, as far as is known.
         """
         key = key or str(uuid_utils.uuid7())
-        end = time.monotonic() + self.deadline_s
+        deadline = time.monotonic() + self.deadline_s
         failed: set[str] = set()
         while True:
-            entry = await self._pick_entry(failed, end)
+            entry = await self._pick_entry(failed, deadline)
             url = f'http://{entry}/v1/services/{service}/{path}'
             try:
                 async with self.session.request(
@@ -156,13 +156,13 @@
                     },
                 ) as response:
                     content = await response.read()
-                    error = _error_in(response.status, content, entry)
+                    error = _decode_error(response.status, content, entry)
                 if error is None:
                     return Answer(response.status, content)
-                if error.status != 503 or time.monotonic() > end:
+                if error.status != 503 or time.monotonic() > deadline:
                     raise error
             except _CONNECTION_ERRORS as error:
-                if time.monotonic() > end:
+                if time.monotonic() > deadline:
                     raise errors.RequestError(
                         str(error), 'call', entry, ran=errors.Ran.UNKNOWN
                     ) from error
@@ -183,7 +183,7 @@
         ) as response:
             if response.status != 200:
                 content = await response.read()
-                error = _error_in(response.status, content, entry)
+                error = _decode_error(response.status, content, entry)
                 raise error or _stream_error(
                     f'status {response.status}', entry
                 )
@@ -200,13 +200,13 @@
                     return
                 elif line.startswith(b'data: '):
                     if is_error:
-                        error = _error_in(500, line[6:], entry)
+                        error = _decode_error(500, line[6:], entry)
                         raise error or _stream_error('bad error event', entry)
-                    token = _token_in(line[6:])
+                    token = _decode_token(line[6:])
                     if token is not None:
                         yield offset, token
 
-    async def _pick_entry(self, failed: set[str], end: float) -> str:
+    async def _pick_entry(self, failed: set[str], deadline: float) -> str:
         while True:
             if time.monotonic() >= self.keep_until:
                 await self._refresh_entries(failed)
@@ -215,7 +215,7 @@
                     return entry
             failed.clear()
             self.keep_until = 0.0
-            if time.monotonic() > end:
+            if time.monotonic() > deadline:
                 raise errors.RequestError(
                     'no entry could be reached', 'client', retry_after=1.0
                 )
@@ -226,8 +226,8 @@
             'account': self.account,
             'data_centre': self.data_centre,
         }
-        known = [*self.entries, *self.seeds]
-        candidates = [e for e in known if e not in failed] or known
+        all_entries = [*self.entries, *self.seeds]
+        candidates = [e for e in all_entries if e not in failed] or all_entries
         for entry in dict.fromkeys(candidates):
             try:
                 async with self.session.get(
@@ -245,12 +245,12 @@
             return
 
 
-def _token_in(data: bytes) -> str | None:
+def _decode_token(data: bytes) -> str | None:
     delta = json.loads(data)['choices'][0]['delta']
     return delta.get('content')
 
 
-def _error_in(
+def _decode_error(
     status: int, content: bytes, entry: str
 ) -> errors.RequestError | None:
     """Return the error in a response, ``None`` for a service's own error."""
--- a/src/bulrushhold/entry/_admission.py
+++ b/src/bulrushhold/entry/_admission.py
@@ -164,10 +164,10 @@
             self.home.forget(now)
             self._pump()
             for key, share in list(self.shares.items()):
-                busy = share.running or share.waiting
-                if not busy and now - share.used_at > SHARE_IDLE_S:
+                in_use = share.running or share.waiting
+                if not in_use and now - share.used_at > SHARE_IDLE_S:
                     del self.shares[key]
-                elif busy:
+                elif in_use:
                     self._renew(share, now)
             if self.places.running or self.places.waiting:
                 self._renew(self.places, now)
--- a/src/bulrushhold/entry/_control.py
+++ b/src/bulrushhold/entry/_control.py
@@ -85,10 +85,10 @@
     async def _request(
         self, request: messages.Message, timeout_s: float, deadline_s: float
     ) -> t.Any:
-        end = time.monotonic() + deadline_s
+        deadline = time.monotonic() + deadline_s
         last_error: errors.PeerError | None = None
         while True:
-            remaining = end - time.monotonic()
+            remaining = deadline - time.monotonic()
             if remaining <= 0:
                 raise last_error or errors.PeerError(
                     'no control leader answered', 'control', self.leader
--- a/src/bulrushhold/entry/_keys.py
+++ b/src/bulrushhold/entry/_keys.py
@@ -75,23 +75,25 @@
         epoch = self.new_epoch()
         no_majority = False
         for _ in range(MAX_ROUNDS):
-            found = await self._take_pointers(key, epoch, fingerprint)
-            if found.mismatch:
+            pointers = await self._take_pointers(key, epoch, fingerprint)
+            if pointers.mismatch:
                 raise errors.RequestError(
                     'the idempotency key was used for another request',
                     'key',
                     status=422,
                 )
-            if not found.majority:
+            if not pointers.majority:
                 no_majority = True
                 continue
-            if found.epoch > epoch:
+            if pointers.epoch > epoch:
                 # This clock is behind: continue from the current epoch.
-                epoch = (((found.epoch >> 16) + 1) << 16) | self.epoch_suffix
+                epoch = (
+                    ((pointers.epoch >> 16) + 1) << 16
+                ) | self.epoch_suffix
                 continue
-            copy = await self._take_copies(key, epoch, found)
+            copy = await self._take_copies(key, epoch, pointers)
             held = len(copy.tokens) if copy else 0
-            if received and (received > held or not found.sure):
+            if received and (received > held or not pointers.sure):
                 raise errors.RequestError(
                     f'the answer is not known up to token {received}; ask '
                     'anew, under a new key',
@@ -102,7 +104,7 @@
             if copy is not None and not (copy.tokens or copy.finish):
                 copy = None
             if copy is not None:
-                return KeyOwnership(epoch, found.since, copy)
+                return KeyOwnership(epoch, pointers.since, copy)
             if await self._begin_text(key, epoch, fingerprint):
                 return KeyOwnership(epoch, epoch, None)
         if no_majority:
@@ -128,8 +130,10 @@
         self, key: str, epoch: int, fingerprint: str
     ) -> bool:
         """Register the start of a new text at a majority of homes."""
-        found = await self._take_pointers(key, epoch, fingerprint, begins=True)
-        return found.majority and found.epoch == epoch
+        pointers = await self._take_pointers(
+            key, epoch, fingerprint, begins=True
+        )
+        return pointers.majority and pointers.epoch == epoch
 
     async def still_owned(
         self, key: str, epoch: int, fingerprint: str
@@ -142,9 +146,9 @@
         :raises RequestError: if too few homes answer.
         """
         for _ in range(MAX_ROUNDS):
-            found = await self._take_pointers(key, epoch, fingerprint)
-            if found.majority:
-                return found.epoch == epoch
+            pointers = await self._take_pointers(key, epoch, fingerprint)
+            if pointers.majority:
+                return pointers.epoch == epoch
         raise self._no_majority()
 
     def refresh(
@@ -175,12 +179,12 @@
         return decisions.standing(states, len(homes))
 
     async def _take_copies(
-        self, key: str, epoch: int, found: decisions.Standing
+        self, key: str, epoch: int, pointers: decisions.Standing
     ) -> messages.CopyState | None:
         states = await self._request_all(
-            found.former, messages.CopyTake(key, epoch)
+            pointers.former, messages.CopyTake(key, epoch)
         )
-        best = decisions.best_copy(states, found.since)
+        best = decisions.best_copy(states, pointers.since)
         if best is not None:
             node.log_decision(
                 'take over',
--- a/src/bulrushhold/entry/_operators.py
+++ b/src/bulrushhold/entry/_operators.py
@@ -40,13 +40,13 @@
         ]
 
     def _check_operator(self, request: web.Request) -> None:
-        given = request.headers.get('Authorization', '')
-        wanted = f'Bearer {self.key}'
+        actual = request.headers.get('Authorization', '')
+        expected = f'Bearer {self.key}'
         if not self.key:
             raise _requests.bad_request(
                 'no operator key is set at this entry', 403
             )
-        if not hmac.compare_digest(given.encode(), wanted.encode()):
+        if not hmac.compare_digest(actual.encode(), expected.encode()):
             raise _requests.bad_request(
                 'the operator key is wrong or missing', 403
             )
--- a/src/bulrushhold/entry/_quarantine.py
+++ b/src/bulrushhold/entry/_quarantine.py
@@ -18,7 +18,7 @@
     """Quarantines contents at all entries."""
 
     @abc.abstractmethod
-    def refused(self, fingerprint: str) -> bool:
+    def is_quarantined(self, fingerprint: str) -> bool:
         """Whether the content is quarantined."""
 
     @abc.abstractmethod
@@ -55,7 +55,7 @@
         self.poll_s = poll_s
         self.pending: set[str] = set()
 
-    def refused(self, fingerprint: str) -> bool:
+    def is_quarantined(self, fingerprint: str) -> bool:
         """Whether the content is quarantined."""
         return (
             fingerprint in self.pending
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -57,7 +57,7 @@
         """Run a generation until it is complete or has failed."""
         live: dict[int, _attempts.Attempt] = {}
         slot: _admission.Slot | None = None
-        initial = len(generation.transcript.tokens)
+        initial_length = len(generation.transcript.tokens)
         try:
             generation.lifecycle.move('queue')
             slot = await self.admission.enter(generation.spec.row)
@@ -84,7 +84,7 @@
             for attempt in list(live.values()):
                 self._stop(generation, attempt, live)
             if slot is not None:
-                generated = len(generation.transcript.tokens) - initial
+                generated = len(generation.transcript.tokens) - initial_length
                 self.admission.release(slot, generated)
 
     async def _run(
@@ -117,7 +117,7 @@
         spec = generation.spec
         transcript = generation.transcript
         await self._await_crash_probe(generation)
-        if self.quarantine.refused(spec.fingerprint):
+        if self.quarantine.is_quarantined(spec.fingerprint):
             raise self._refusal(
                 generation, QUARANTINE_REASON, status=422, retry=None
             )
--- a/src/bulrushhold/entry/_server.py
+++ b/src/bulrushhold/entry/_server.py
@@ -93,21 +93,21 @@
         try:
             return await handler(request)
         except errors.RequestError as error:
-            return self._error(error)
+            return self._error_response(error)
         except web.HTTPRequestEntityTooLarge:
             limit = self.config.max_body_bytes
-            return self._error(
+            return self._error_response(
                 _requests.bad_request(f'the body exceeds {limit} bytes', 413)
             )
         except web.HTTPException as error:
-            return self._error(
+            return self._error_response(
                 _requests.bad_request(error.reason, error.status)
             )
         except ConnectionResetError:
             raise
         except Exception:
             loguru.logger.exception('request failed')
-            return self._error(
+            return self._error_response(
                 errors.RequestError(
                     'internal error',
                     'entry',
@@ -116,7 +116,7 @@
                 )
             )
 
-    def _error(self, error: errors.RequestError) -> web.Response:
+    def _error_response(self, error: errors.RequestError) -> web.Response:
         self.metrics.count(f'refused.{error.status}')
         headers = {}
         if error.retry_after is not None:
@@ -154,7 +154,7 @@
                 retry_after=NOT_READY_RETRY_S,
             )
 
-    def _row(self, request: web.Request, work: str) -> messages.Row:
+    def _find_row(self, request: web.Request, work: str) -> messages.Row:
         return _requests.find_row(
             request.headers, self.table.rows, self.table.accounts, work
         )
@@ -172,7 +172,7 @@
         work = request.headers.get(
             _requests.WORK_HEADER, _requests.DEFAULT_WORK
         )
-        row = self._row(request, work)
+        row = self._find_row(request, work)
         spec = _requests.make_spec(chat, row)
         if not self.view.has_model(chat.model):
             raise _requests.bad_request(f'unknown model {chat.model!r}', 404)
@@ -232,7 +232,7 @@
         key: str,
         received: int,
     ) -> web.StreamResponse:
-        await self._await_first(generation, received)
+        await self._await_first_token(generation, received)
         if generation.error is not None and generation.visible <= received:
             # Before the first byte, an error can still be an HTTP status.
             raise generation.error
@@ -248,7 +248,7 @@
         await stream.run(request.transport)
         return response
 
-    async def _await_first(
+    async def _await_first_token(
         self, generation: _generation.Generation, received: int
     ) -> None:
         """Wait for the first token, but no longer than headers may take."""
@@ -264,7 +264,7 @@
         service = request.match_info['service']
         path = request.match_info['path']
         self._check_accepting()
-        row = self._row(request, f'{service}/{path.partition("/")[0]}')
+        row = self._find_row(request, f'{service}/{path.partition("/")[0]}')
         key = _requests.read_key(request.headers)
         call = ports.ServiceCall(
             request=str(uuid_utils.uuid4()),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -273,9 +273,11 @@
 
 async def until(condition, seconds=20.0):
     """Wait until a condition holds; fail after ``seconds``."""
-    end = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < end, 'timed out waiting for the condition'
+        assert time.monotonic() < deadline, (
+            'timed out waiting for the condition'
+        )
         await asyncio.sleep(0.005)
 
 
