--- a/src/bulrushhold/entry/_generation.py
+++ b/src/bulrushhold/entry/_generation.py
@@ -47,7 +47,7 @@
     ``since`` is the epoch in which the text was started. The first
     ``visible`` tokens may be sent to the caller. ``acked`` maps each peer
     to the number of tokens it has stored. ``attempt_changed`` is set when
-    an attempt starts to deliver, ends or stalls.
+    an attempt sends its first event, ends or stalls.
 
     :param key: account and idempotency key.
     :param epoch: fences entries that served the same key before.
--- a/src/bulrushhold/entry/_keys.py
+++ b/src/bulrushhold/entry/_keys.py
@@ -59,7 +59,7 @@
         transport.handle(messages.CopyTake, self._on_take)
 
     def new_epoch(self) -> int:
-        """Return a unique epoch: time, with a hash of the name appended."""
+        """Return an epoch unique to this entry: time, then a name hash."""
         return (int(time.time() * 1000) << 16) | self.epoch_suffix
 
     async def take(
@@ -95,8 +95,8 @@
             held = len(copy.tokens) if copy else 0
             if received and (received > held or not pointers.sure):
                 raise errors.RequestError(
-                    f'the answer is not known up to token {received}; ask '
-                    'anew, under a new key',
+                    f'the answer is not known up to token {received}; send '
+                    'the request again with a new key',
                     'resume',
                     ran=errors.Ran.UNKNOWN,
                     status=410,
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -24,7 +24,11 @@
 
 
 class GenerationRunner:
-    """Dispatches generations to engines, and recovers from lost engines."""
+    """Dispatches generations to engines, and recovers from lost engines.
+
+    ``running`` maps each engine to the attempts on it, ``crash_probes`` to
+    the check whether it has crashed.
+    """
 
     def __init__(
         self,
@@ -406,7 +410,7 @@
         generation: _generation.Generation,
         live: dict[int, _attempts.Attempt],
     ) -> None:
-        """Wait until an attempt starts to deliver, ends or stalls."""
+        """Wait until an attempt sends its first event, ends or stalls."""
         generation.attempt_changed.clear()
         self._remove_ended(generation, live)
         if not live or generation.transcript.finish:
--- a/src/bulrushhold/entry/_streams.py
+++ b/src/bulrushhold/entry/_streams.py
@@ -66,8 +66,8 @@
             )
         if received > len(generation.transcript.tokens):
             raise errors.RequestError(
-                f'the answer is not known up to token {received}; ask anew, '
-                'under a new key',
+                f'the answer is not known up to token {received}; send the '
+                'request again with a new key',
                 'resume',
                 ran=errors.Ran.YES,
                 status=410,
