--- a/src/bulrushhold/entry/_control.py
+++ b/src/bulrushhold/entry/_control.py
@@ -146,7 +146,7 @@
         self.changed: list[cabc.Callable[[], None]] = []
 
     @property
-    def known(self) -> bool:
+    def confirmed(self) -> bool:
         """Whether a leader has confirmed the table at least once."""
         return self.confirmed_at is not None
 
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -78,8 +78,8 @@
 
 async def test_a_reply_for_another_request_is_dropped(system):
     # Another request's tokens must not reach the caller.
-    crossed = system.engines['m1']
-    crossed.crossed = True
+    faulty_engine = system.engines['m1']
+    faulty_engine.crossed = True
     for _ in range(4):
         tokens = await read(system.client(), 5)
         conftest.assert_whole(tokens, 5)
@@ -102,7 +102,7 @@
     assert caught.value.ran is errors.Ran.YES
 
 
-async def test_a_poison_request_crashes_two_engines_at_most(make_system):
+async def test_a_poison_request_crashes_two_engines_only(make_system):
     # The second crash quarantines the content, also under new keys.
     system = await make_system(engines=4)
     prompt = [{'role': 'user', 'content': 'CRASH please'}]
