--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -89,7 +89,7 @@
 async def test_without_an_engine_of_the_same_version_the_request_fails(
     make_system,
 ):
-    # Text of another model version must not be appended to delivered tokens.
+    # No engine of the model version is left to continue the answer.
     system = await make_system(engines=1)
 
     async def kill(tokens):
