--- a/src/bulrushhold/client.py
+++ b/src/bulrushhold/client.py
@@ -1,8 +1,8 @@
-"""The caller's side: asks which entries to use, and sticks to the answer.
+"""Client library for callers.
 
-A caller needs no more than HTTP; this thin library does what a careful
-caller does. It keeps the list of entries a while, names each request with
-a key, and goes on at another entry from the last token it has.
+Callers can also use plain HTTP. The library caches the list of entries,
+sends an idempotency key with each request, and resumes an interrupted answer
+at another entry from the last token received.
 """
 
 import asyncio
@@ -17,10 +17,10 @@
 
 from bulrushhold import errors
 
-ASK_S: t.Final = 2.0
-PAUSE_S: t.Final = 0.2
-IDLE_S: t.Final = 1.5
-_BROKEN: t.Final = (
+REFRESH_TIMEOUT_S: t.Final = 2.0
+RETRY_DELAY_S: t.Final = 0.2
+READ_TIMEOUT_S: t.Final = 1.5
+_CONNECTION_ERRORS: t.Final = (
     aiohttp.ClientError,
     ConnectionError,
     asyncio.TimeoutError,
@@ -29,17 +29,17 @@
 
 @attrs.frozen
 class Answer:
-    """A plain service's answer."""
+    """A plain service's response."""
 
     status: int
     body: bytes
 
 
 class Client:
-    """Uses the system for one client account.
+    """Client for one client account.
 
-    :param seeds: addresses of entries known beforehand.
-    :param deadline_s: seconds for which a request is tried on.
+    :param seeds: addresses of entries to ask for the list of entries.
+    :param deadline_s: seconds for which a request is retried.
     """
 
     def __init__(
@@ -79,10 +79,10 @@
         work: str = 'chat',
         key: str = '',
     ) -> cabc.AsyncGenerator[str, None]:
-        """Yield the tokens of one answer, whole.
+        """Yield all tokens of an answer.
 
-        :raises RequestError: where the system refuses, or no entry could
-            be reached until the deadline.
+        :raises RequestError: if the request is refused, or no entry could
+            be reached before the deadline.
         """
         key = key or str(uuid_utils.uuid7())
         body = {
@@ -92,33 +92,35 @@
             'stream': True,
         }
         headers = {'Bulrushhold-Work': work, 'Idempotency-Key': key}
-        have = 0
-        end = time.monotonic() + self.deadline_s
-        skip: set[str] = set()
+        received = 0
+        deadline = time.monotonic() + self.deadline_s
+        failed: set[str] = set()
         while True:
-            entry = await self._pick(skip, end)
-            if have:
-                headers['Last-Event-ID'] = str(have - 1)
+            entry = await self._pick_entry(failed, deadline)
+            if received:
+                headers['Last-Event-ID'] = str(received - 1)
             try:
                 async for offset, token in self._read(entry, body, headers):
                     if offset is None:
                         return
-                    if offset != have:
-                        raise _lost(f'token {offset} after {have}', entry)
-                    have += 1
-                    # Each token shows that the system is alive.
-                    end = time.monotonic() + self.deadline_s
+                    if offset != received:
+                        raise _stream_error(
+                            f'token {offset} after {received}', entry
+                        )
+                    received += 1
+                    # The deadline applies to the time without progress.
+                    deadline = time.monotonic() + self.deadline_s
                     yield token
-                raise _lost('the stream ended early', entry)
-            except _BROKEN as error:
-                skip = {entry}
-                if time.monotonic() > end:
-                    raise _lost(str(error), entry) from error
+                raise _stream_error('the stream ended early', entry)
+            except _CONNECTION_ERRORS as error:
+                failed = {entry}
+                if time.monotonic() > deadline:
+                    raise _stream_error(str(error), entry) from error
             except errors.RequestError as error:
-                if not _try_elsewhere(error) or time.monotonic() > end:
+                if not _retry_elsewhere(error) or time.monotonic() > deadline:
                     raise
-                skip = {entry}
-                await asyncio.sleep(min(PAUSE_S, error.retry_after or 0))
+                failed = {entry}
+                await asyncio.sleep(min(RETRY_DELAY_S, error.retry_after or 0))
 
     async def call(
         self,
@@ -131,16 +133,17 @@
     ) -> Answer:
         """Call a plain service.
 
-        A call that may run once keeps its key through every try, so that
-        a try whose answer was lost can't run it again.
+        All tries use the same key, so that a call that isn't idempotent
+        runs at most once even if a response is lost.
 
-        :raises RequestError: with ``ran`` as far as it is known.
+        :raises RequestError: with ``ran`` saying whether the call was
+            made, as far as is known.
         """
         key = key or str(uuid_utils.uuid7())
-        end = time.monotonic() + self.deadline_s
-        skip: set[str] = set()
+        deadline = time.monotonic() + self.deadline_s
+        failed: set[str] = set()
         while True:
-            entry = await self._pick(skip, end)
+            entry = await self._pick_entry(failed, deadline)
             url = f'http://{entry}/v1/services/{service}/{path}'
             try:
                 async with self.session.request(
@@ -153,102 +156,104 @@
                     },
                 ) as response:
                     content = await response.read()
-                    error = _error_in(response.status, content, entry)
+                    error = _decode_error(response.status, content, entry)
                 if error is None:
                     return Answer(response.status, content)
-                if error.status != 503 or time.monotonic() > end:
+                if error.status != 503 or time.monotonic() > deadline:
                     raise error
-            except _BROKEN as error:
-                if time.monotonic() > end:
+            except _CONNECTION_ERRORS as error:
+                if time.monotonic() > deadline:
                     raise errors.RequestError(
                         str(error), 'call', entry, ran=errors.Ran.UNKNOWN
                     ) from error
-            skip = {entry}
-            await asyncio.sleep(PAUSE_S)
+            failed = {entry}
+            await asyncio.sleep(RETRY_DELAY_S)
 
     async def _read(
         self, entry: str, body: dict[str, t.Any], headers: dict[str, str]
     ) -> cabc.AsyncGenerator[tuple[int | None, str], None]:
         url = f'http://{entry}/v1/chat/completions'
-        sent = {**headers, 'Bulrushhold-Account': self.account}
-        # An entry shows life twice a second, also while its engine is quiet.
+        all_headers = {**headers, 'Bulrushhold-Account': self.account}
+        # Entries send keep-alive comments while an engine is slow.
         timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=1.0, sock_read=IDLE_S
+            total=None, sock_connect=1.0, sock_read=READ_TIMEOUT_S
         )
         async with self.session.post(
-            url, json=body, headers=sent, timeout=timeout
+            url, json=body, headers=all_headers, timeout=timeout
         ) as response:
             if response.status != 200:
                 content = await response.read()
-                error = _error_in(response.status, content, entry)
-                raise error or _lost(f'status {response.status}', entry)
+                error = _decode_error(response.status, content, entry)
+                raise error or _stream_error(
+                    f'status {response.status}', entry
+                )
             offset = -1
-            failing = False
+            is_error = False
             async for raw in response.content:
                 line = raw.rstrip(b'\n')
                 if line.startswith(b'id: '):
                     offset = int(line[4:])
                 elif line == b'event: error':
-                    failing = True
+                    is_error = True
                 elif line == b'data: [DONE]':
                     yield None, ''
                     return
                 elif line.startswith(b'data: '):
-                    if failing:
-                        error = _error_in(500, line[6:], entry)
-                        raise error or _lost('bad error event', entry)
-                    token = _token_in(line[6:])
+                    if is_error:
+                        error = _decode_error(500, line[6:], entry)
+                        raise error or _stream_error('bad error event', entry)
+                    token = _decode_token(line[6:])
                     if token is not None:
                         yield offset, token
 
-    async def _pick(self, skip: set[str], end: float) -> str:
+    async def _pick_entry(self, failed: set[str], deadline: float) -> str:
         while True:
             if time.monotonic() >= self.keep_until:
-                await self._refresh(skip)
+                await self._refresh_entries(failed)
             for entry in self.entries or self.seeds:
-                if entry not in skip:
+                if entry not in failed:
                     return entry
-            skip.clear()
+            failed.clear()
             self.keep_until = 0.0
-            if time.monotonic() > end:
+            if time.monotonic() > deadline:
                 raise errors.RequestError(
                     'no entry could be reached', 'client', retry_after=1.0
                 )
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _refresh(self, skip: set[str]) -> None:
+    async def _refresh_entries(self, failed: set[str]) -> None:
         params = {
             'account': self.account,
             'data_centre': self.data_centre,
         }
-        known = [*self.entries, *self.seeds]
-        order = [e for e in known if e not in skip] or known
-        for entry in dict.fromkeys(order):
+        all_entries = [*self.entries, *self.seeds]
+        candidates = [e for e in all_entries if e not in failed] or all_entries
+        for entry in dict.fromkeys(candidates):
             try:
                 async with self.session.get(
                     f'http://{entry}/v1/entries',
                     params=params,
-                    timeout=aiohttp.ClientTimeout(total=ASK_S),
+                    timeout=aiohttp.ClientTimeout(total=REFRESH_TIMEOUT_S),
                 ) as response:
                     if response.status != 200:
                         continue
                     answer = await response.json()
-            except _BROKEN:
+            except _CONNECTION_ERRORS:
                 continue
             self.entries = answer['entries']
             self.keep_until = time.monotonic() + answer['keep_s']
             return
 
 
-def _token_in(data: bytes) -> str | None:
+def _decode_token(data: bytes) -> str | None:
     delta = json.loads(data)['choices'][0]['delta']
     return delta.get('content')
 
 
-def _error_in(
+def _decode_error(
     status: int, content: bytes, entry: str
 ) -> errors.RequestError | None:
-    """Return the system's error in an answer; a service's own is none."""
+    """Return the error in a response, ``None`` for a service's own error."""
     if status < 400:
         return None
     try:
@@ -265,10 +270,10 @@
         return None
 
 
-def _lost(reason: str, entry: str) -> aiohttp.ClientPayloadError:
+def _stream_error(reason: str, entry: str) -> aiohttp.ClientPayloadError:
     return aiohttp.ClientPayloadError(f'{entry}: {reason}')
 
 
-def _try_elsewhere(error: errors.RequestError) -> bool:
-    """Whether another entry may go on with the same key."""
+def _retry_elsewhere(error: errors.RequestError) -> bool:
+    """Whether to retry at another entry with the same key."""
     return error.status == 503 or error.step in ('fenced', 'entry')
--- a/src/bulrushhold/entry/_admission.py
+++ b/src/bulrushhold/entry/_admission.py
@@ -1,4 +1,4 @@
-"""Admits requests within limits and weights, or refuses at once."""
+"""Admission control: fair queueing by weight and per-row quotas."""
 
 import asyncio
 import collections.abc as cabc
@@ -15,19 +15,21 @@
 from bulrushhold import ports
 from bulrushhold import settings
 
-ASK_S: t.Final = 0.5
-IDLE_S: t.Final = 10.0
-SWEEP_S: t.Final = 0.25
-EXPECTED_TOKENS: t.Final = 256.0
-EXPECTED_GAIN: t.Final = 0.1
-PLACES: t.Final = 'engine places'
+LEASE_TIMEOUT_S: t.Final = 0.5
+SHARE_IDLE_S: t.Final = 10.0
+SWEEP_INTERVAL_S: t.Final = 0.25
+DEFAULT_EXPECTED_TOKENS: t.Final = 256.0
+EXPECTED_TOKENS_GAIN: t.Final = 0.1
+ENGINE_QUOTA_WORK: t.Final = 'engine places'
 
 
 @attrs.define(eq=False)
-class Place:
-    """An admitted request's place; given back by :meth:`Admission.leave`.
+class Slot:
+    """A request's slot, returned by :meth:`Admission.release`.
 
-    :param expected: tokens it was charged for beforehand.
+    :param expected: tokens charged in advance.
+    :param queued: the request went through the fair queue.
+    :param granted: completed once the request may start.
     """
 
     row: messages.Row
@@ -37,7 +39,10 @@
 
 
 class Admission:
-    """Fair queue, quotas and the home's side of quotas of one entry."""
+    """Fair queue and quotas of one entry.
+
+    The entry also grants quota leases for the rows whose home it is.
+    """
 
     def __init__(
         self,
@@ -60,30 +65,30 @@
         self.home = decisions.QuotaHome(clock())
         self.shares: dict[str, decisions.QuotaShare] = {}
         self.expected: dict[str, float] = {}
-        self.asking: dict[str, asyncio.Task[None]] = {}
-        self.known_entries: list[str] = []
+        self.lease_requests: dict[str, asyncio.Task[None]] = {}
+        self.entry_names: list[str] = []
         self.engine_slots = 1
         self.places = decisions.QuotaShare(self._places_row(), 1)
-        transport.handle(messages.QuotaAsk, self._on_ask)
+        transport.handle(messages.QuotaAsk, self._on_quota_ask)
 
     def set_capacity(self, engine_slots: int) -> None:
-        """Take in how many requests all engines run well at once."""
+        """Set the total number of engine slots of all engines."""
         names = [entry.name for entry in self.entries()]
-        if names != self.known_entries:
-            self.known_entries = names
+        if names != self.entry_names:
+            self.entry_names = names
             self.home.homes_changed(self.clock())
         self.engine_slots = engine_slots
         self.places.row = self._places_row()
         self.places.entries = max(1, len(names))
         self._pump()
 
-    async def enter(self, row: messages.Row) -> Place:
-        """Wait for a place for a generation.
+    async def enter(self, row: messages.Row) -> Slot:
+        """Wait for a slot for a generation.
 
-        :raises RequestError: at once, where the row's limits or the queue
-            can't give one before the deadline; with when to come back.
+        :raises RequestError: immediately, with ``retry_after``, if the
+            row's limits or the queue allow no start before the deadline.
         """
-        expected = self.expected.get(row.key, EXPECTED_TOKENS)
+        expected = self.expected.get(row.key, DEFAULT_EXPECTED_TOKENS)
         share = self._share(row)
         wait = self.queue.expected_wait(row.key, row.weight)
         if wait > row.deadline_s or self.queue.waiting >= (
@@ -97,130 +102,138 @@
             else (share.retry_after(self.clock()))
         )
         if delay > row.deadline_s:
-            raise self._refusal(row, 'the limits of the row are used', delay)
-        place = Place(
+            raise self._refusal(
+                row, 'the limits of the row are exhausted', delay
+            )
+        slot = Slot(
             row,
             expected,
             True,
             asyncio.get_running_loop().create_future(),
         )
         if not self.places.leased(self.clock()):
-            self._ask_for(self.places)
-        self.queue.push(row.key, row.weight, expected, place)
+            self._request_lease(self.places)
+        self.queue.push(row.key, row.weight, expected, slot)
         share.waiting += 1
         self._pump()
-        await self._await_place(place, share)
-        return place
+        await self._await_slot(slot, share)
+        return slot
 
-    async def enter_call(self, row: messages.Row) -> Place:
-        """Take a place for a plain call: limits apply, but no queue.
+    async def acquire_call(self, row: messages.Row) -> Slot:
+        """Take a slot for a plain call, subject to limits but not queued.
 
-        Look-ups so stay quick beside long generations.
+        Short calls would otherwise wait behind long generations.
 
-        :raises RequestError: where the row's limits are used.
+        :raises RequestError: if the row's limits are exhausted.
         """
         share = self._share(row)
         await self._await_lease(share)
         now = self.clock()
         if not share.allows(now):
             raise self._refusal(
-                row, 'the limits of the row are used', share.retry_after(now)
+                row,
+                'the limits of the row are exhausted',
+                share.retry_after(now),
             )
         share.start(1.0, now)
         done = asyncio.get_running_loop().create_future()
-        return Place(row, 1.0, False, done)
-
-    def leave(self, place: Place, tokens: int) -> None:
-        """Give a place back, and charge the tokens really used."""
-        self._release(place, tokens)
-        if place.queued:
-            key = place.row.key
-            former = self.expected.get(key, EXPECTED_TOKENS)
-            self.expected[key] = former + EXPECTED_GAIN * (tokens - former)
+        return Slot(row, 1.0, False, done)
+
+    def release(self, slot: Slot, tokens: int) -> None:
+        """Return a slot and charge the tokens actually used."""
+        self._release(slot, tokens)
+        if slot.queued:
+            key = slot.row.key
+            previous = self.expected.get(key, DEFAULT_EXPECTED_TOKENS)
+            self.expected[key] = previous + EXPECTED_TOKENS_GAIN * (
+                tokens - previous
+            )
 
-    def _release(self, place: Place, tokens: int) -> None:
+    def _release(self, slot: Slot, tokens: int) -> None:
         now = self.clock()
-        self._share(place.row).finish(place.expected, tokens, now)
-        if place.queued:
-            self.queue.done(place.row.key, place.expected, tokens, now)
+        self._share(slot.row).finish(slot.expected, tokens, now)
+        if slot.queued:
+            self.queue.done(slot.row.key, slot.expected, tokens, now)
             self._pump()
 
     async def sweep(self) -> None:
-        """Renew leases in use, and start what has come to be allowed."""
+        """Renew leases in use and start requests that are now allowed."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now = self.clock()
             self.home.forget(now)
             self._pump()
             for key, share in list(self.shares.items()):
-                busy = share.running or share.waiting
-                if not busy and now - share.used_at > IDLE_S:
+                in_use = share.running or share.waiting
+                if not in_use and now - share.used_at > SHARE_IDLE_S:
                     del self.shares[key]
-                elif busy:
+                elif in_use:
                     self._renew(share, now)
             if self.places.running or self.places.waiting:
                 self._renew(self.places, now)
 
     def _renew(self, share: decisions.QuotaShare, now: float) -> None:
         if now - share.granted_from > decisions.QUOTA_RENEW_S:
-            self._ask_for(share)
+            self._request_lease(share)
 
-    async def _await_place(
-        self, place: Place, share: decisions.QuotaShare
+    async def _await_slot(
+        self, slot: Slot, share: decisions.QuotaShare
     ) -> None:
-        row = place.row
+        row = slot.row
         try:
             async with asyncio.timeout(row.deadline_s):
-                await place.granted
+                await slot.granted
         except BaseException as error:
-            if place.granted.done() and not place.granted.cancelled():
-                # Granted in the turn in which the caller left.
-                self._release(place, 0)
+            if slot.granted.done() and not slot.granted.cancelled():
+                # Granted in the same event loop iteration as the cancellation.
+                self._release(slot, 0)
             else:
-                self.queue.remove(row.key, place)
+                self.queue.remove(row.key, slot)
             if isinstance(error, TimeoutError):
                 raise self._refusal(
-                    row, 'no place before the deadline', row.deadline_s
+                    row, 'no free slot before the deadline', row.deadline_s
                 ) from None
             raise
         finally:
             share.waiting -= 1
 
     def _places_row(self) -> messages.Row:
-        """Return a row whose limit is what all engines run at once."""
+        """Return a row whose concurrency limit is the engine slots."""
         return messages.Row(
-            '', PLACES, 1.0, 0.0, self.engine_slots, 1.0, 0, True
+            '', ENGINE_QUOTA_WORK, 1.0, 0.0, self.engine_slots, 1.0, 0, True
         )
 
     def _capacity(self, now: float) -> int:
-        """Return this entry's places: by weights, or else an equal part.
+        """Return the number of engine slots that this entry may use.
 
-        Places are leased like a row's limit, in proportion to the weights
-        of the rows in use at each entry. Without a home they are split
-        evenly: that bends the weights, but wastes no engine.
+        Slots are leased like a row's limit, in proportion to the weights
+        of the rows in use at each entry. If no home can be reached, they
+        are split evenly, which ignores the weights but idles no engine.
         """
         if self.places.leased(now):
             return max(1, self.places.slots_now(now))
         return max(1, self.engine_slots // self.places.entries)
 
-    def _claim_to_places(self) -> float:
-        """Return the weights in use here, each account's split by entries.
+    def _weight_in_use(self) -> float:
+        """Return the sum of the weights of the rows in use here.
 
-        An account large enough for several entries has its callers spread
-        over them, and claims a part of its weight at each.
+        A large account's callers are spread over several entries, so its
+        weight is divided by their number.
         """
         weights = self.accounts()
         total = sum(weights.values()) or 1.0
-        claim = 0.0
+        weight = 0.0
         for share in self.shares.values():
             if share.running or share.waiting:
-                part = weights.get(share.row.account, 0.0) / total
-                ways = decisions.entries_wanted(part, self.places.entries)
-                claim += share.row.weight / ways
-        return max(claim, 0.001)
+                account_share = weights.get(share.row.account, 0.0) / total
+                entry_count = decisions.entries_wanted(
+                    account_share, self.places.entries
+                )
+                weight += share.row.weight / entry_count
+        return max(weight, 0.001)
 
     def _pump(self) -> None:
-        """Give places to those whose turn it is."""
+        """Grant free slots to the next requests in the fair queue."""
         now = self.clock()
         self.queue.capacity = self._capacity(now)
         self.places.running = self.queue.running
@@ -230,13 +243,13 @@
             share = self.shares.get(key)
             return share is None or not share.limited or share.allows(now)
 
-        while (place := self.queue.pop(ready)) is not None:
-            if place.granted.done():
-                # It gave up in the same moment; its place is free again.
-                self.queue.done(place.row.key, place.expected, 0.0, now)
+        while (slot := self.queue.pop(ready)) is not None:
+            if slot.granted.done():
+                # The request was cancelled; its slot is free again.
+                self.queue.done(slot.row.key, slot.expected, 0.0, now)
                 continue
-            self._share(place.row).start(place.expected, now)
-            place.granted.set_result(None)
+            self._share(slot.row).start(slot.expected, now)
+            slot.granted.set_result(None)
 
     # Quotas
 
@@ -251,27 +264,33 @@
         return share
 
     async def _await_lease(self, share: decisions.QuotaShare) -> None:
-        """Ask for the first lease before judging by it."""
+        """Wait for the first lease, so that limits can be checked."""
         leased = self.clock() < share.granted_from + decisions.QUOTA_LEASE_S
         if not share.limited or leased or share.allows(self.clock()):
             if share.limited and not leased:
-                self._ask_for(share)
+                self._request_lease(share)
             return
-        task = self._ask_for(share)
+        task = self._request_lease(share)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(ASK_S):
+            async with asyncio.timeout(LEASE_TIMEOUT_S):
                 await asyncio.shield(task)
 
-    def _ask_for(self, share: decisions.QuotaShare) -> asyncio.Task[None]:
+    def _request_lease(
+        self, share: decisions.QuotaShare
+    ) -> asyncio.Task[None]:
         key = share.row.key
-        task = self.asking.get(key)
+        task = self.lease_requests.get(key)
         if task is None or task.done():
-            task = asyncio.get_running_loop().create_task(self._ask(share))
-            self.asking[key] = task
-            task.add_done_callback(lambda _: self.asking.pop(key, None))
+            task = asyncio.get_running_loop().create_task(
+                self._fetch_lease(share)
+            )
+            self.lease_requests[key] = task
+            task.add_done_callback(
+                lambda _: self.lease_requests.pop(key, None)
+            )
         return task
 
-    async def _ask(self, share: decisions.QuotaShare) -> None:
+    async def _fetch_lease(self, share: decisions.QuotaShare) -> None:
         if not share.limited:
             return
         entries = self.entries()
@@ -280,7 +299,7 @@
             return
         want = max(1.0, float(share.running + share.waiting))
         if share is self.places:
-            want = self._claim_to_places()
+            want = self._weight_in_use()
         ask = messages.QuotaAsk(
             share.row.key,
             self.config.name,
@@ -289,19 +308,23 @@
             share.running_on_lease,
             len(entries),
         )
-        sent = self.clock()
+        sent_at = self.clock()
         try:
             if homes[0].name == self.config.name:
-                grant = await self._on_ask(ask)
+                grant = await self._on_quota_ask(ask)
             else:
-                grant = await self.transport.request(homes[0].peer, ask, ASK_S)
+                grant = await self.transport.request(
+                    homes[0].peer, ask, LEASE_TIMEOUT_S
+                )
         except errors.PeerError:
             self.metrics.count('quota.home_lost')
             return
-        share.take_grant(grant, sent)
+        share.take_grant(grant, sent_at)
         self._pump()
 
-    async def _on_ask(self, ask: messages.QuotaAsk) -> messages.QuotaGrant:
+    async def _on_quota_ask(
+        self, ask: messages.QuotaAsk
+    ) -> messages.QuotaGrant:
         row = self.rows().get(ask.row)
         if ask.row == self.places.row.key:
             row = self.places.row
--- a/src/bulrushhold/entry/_attempts.py
+++ b/src/bulrushhold/entry/_attempts.py
@@ -1,4 +1,4 @@
-"""One run of a generation on one engine, and the watch over its silence."""
+"""Attempts of a generation on engines, and the timer for stalled ones."""
 
 import asyncio
 import time
@@ -13,28 +13,33 @@
 class Attempt:
     """One attempt of a generation on one engine.
 
-    :param counted: its engine's death has been counted.
-    :param reached: its request may have reached the engine.
-    :param reserved: tokens spent from the budget, if it was a reserve.
-    :param suspect: it counts among the suspects on its engine.
+    :param last_event_at: monotonic seconds of the last event, or of the
+        start.
+    :param started: the engine has sent an event.
+    :param crash_counted: its engine's crash has been counted.
+    :param poison_suspect: the request may be a poison request.
+    :param connected: ``False`` if the connection failed, so that the
+        request can't have reached the engine.
+    :param hedge_tokens: tokens charged to the work budget for a hedged
+        attempt.
     """
 
     number: int
     state: decisions.BackendState
-    heard_at: float
+    last_event_at: float
     started: bool = False
-    counted: bool = False
-    suspect: bool = False
-    reached: bool = True
-    reserved: int = 0
+    crash_counted: bool = False
+    poison_suspect: bool = False
+    connected: bool = True
+    hedge_tokens: int = 0
     task: asyncio.Task[None] | None = None
 
 
-class SilenceTimer:
-    """Wakes a generation's task when its attempts have been silent.
+class StallTimer:
+    """Wakes a generation's task once its attempts have stalled.
 
-    Only then: a task woken for each check would cost a fifth of what the
-    tokens themselves cost.
+    The checks run as timer callbacks, since waking the task for each one
+    is expensive.
     """
 
     def __init__(
@@ -47,33 +52,34 @@
         self.generation = generation
         self.live = live
         self.loop = asyncio.get_running_loop()
-        self.until_loss = False
-        newest = self._newest()
-        silence = time.monotonic() - newest.heard_at
-        # Past the first limit, or with a reserve, only a loss is waited for.
-        self.until_loss = len(live) > 1 or silence >= self._limit(newest)
+        self.loss_only = False
+        most_recent = self._most_recent()
+        silence = time.monotonic() - most_recent.last_event_at
+        # After the first timeout, or with a hedged attempt, only the loss
+        # timeout remains.
+        self.loss_only = len(live) > 1 or silence >= self._timeout(most_recent)
         self.handle: asyncio.TimerHandle | None = None
         self._check()
 
     def cancel(self) -> None:
-        """Check no more."""
+        """Stop the timer."""
         if self.handle is not None:
             self.handle.cancel()
 
     def _check(self) -> None:
-        newest = self._newest()
-        silence = time.monotonic() - newest.heard_at
-        left = self._limit(newest) - silence
-        if left <= 0:
-            self.generation.attempt_ended.set()
+        most_recent = self._most_recent()
+        silence = time.monotonic() - most_recent.last_event_at
+        remaining = self._timeout(most_recent) - silence
+        if remaining <= 0:
+            self.generation.attempt_changed.set()
             return
-        self.handle = self.loop.call_later(max(0.01, left), self._check)
+        self.handle = self.loop.call_later(max(0.01, remaining), self._check)
 
-    def _newest(self) -> Attempt:
-        return max(self.live.values(), key=lambda a: a.heard_at)
+    def _most_recent(self) -> Attempt:
+        return max(self.live.values(), key=lambda a: a.last_event_at)
 
-    def _limit(self, attempt: Attempt) -> float:
+    def _timeout(self, attempt: Attempt) -> float:
         gaps = attempt.state.gaps
-        if self.until_loss:
+        if self.loss_only:
             return self.policy.loss_after(gaps, started=attempt.started)
         return self.policy.check_after(gaps, started=attempt.started)
--- a/src/bulrushhold/entry/_callerstream.py
+++ b/src/bulrushhold/entry/_callerstream.py
@@ -1,4 +1,4 @@
-"""Writes one generation to one caller as server-sent events."""
+"""Streams a generation to a caller as server-sent events."""
 
 import asyncio
 import time
@@ -9,7 +9,7 @@
 
 from bulrushhold.entry import _generation
 
-KEEP_ALIVE_S: t.Final = 0.5
+KEEP_ALIVE_INTERVAL_S: t.Final = 0.5
 _KEEP_ALIVE: t.Final = b': quiet\n\n'
 _DONE: t.Final = b'data: [DONE]\n\n'
 _encode = msgspec.json.encode
@@ -18,73 +18,78 @@
 class CallerStream:
     """Sends tokens as they become visible.
 
-    Tokens are written within the call that makes them visible, as long
-    as the connection takes them; a task's wake-up for each token would
-    cost about as much as its relay. Where the caller reads more slowly
-    than the engine writes, the handler's task takes over and waits.
+    While the write buffer is empty, tokens are written directly from the
+    call that makes them visible, which saves a task switch per token. If
+    the caller reads too slowly, the handler's task writes with flow
+    control.
 
-    :param have: tokens that the caller already has.
+    :param received: number of tokens that the caller already has.
     """
 
     def __init__(
         self,
         generation: _generation.Generation,
         response: web.StreamResponse,
-        have: int,
+        received: int,
     ) -> None:
         self.generation = generation
         self.response = response
-        self.sent = have
-        self.wanted = asyncio.Event()
+        self.sent = received
+        self.wakeup = asyncio.Event()
         self.sent_at = time.monotonic()
         self.timer: asyncio.TimerHandle | None = None
         self.transport: asyncio.Transport | None = None
 
     async def run(self, transport: asyncio.Transport | None) -> None:
-        """Write until the end mark or the refusal is out.
+        """Write events until the end mark or the error event is sent.
 
-        :raises ConnectionResetError: where the caller has left.
+        :raises ConnectionResetError: if the caller has disconnected.
         """
         self.transport = transport
-        self.generation.listeners.append(self._on_more)
-        self._check_quiet()
+        self.generation.listeners.append(self._on_progress)
+        self._check_keep_alive()
         try:
             while not self.generation.ended:
-                await self._catch_up()
+                await self._flush()
                 await self._wait()
-            await self._catch_up()
+            await self._flush()
         finally:
             if self.timer is not None:
                 self.timer.cancel()
-            self.generation.listeners.remove(self._on_more)
-        await self.response.write(_end(self.generation))
+            self.generation.listeners.remove(self._on_progress)
+        await self.response.write(_final_events(self.generation))
         await self.response.write_eof()
 
     async def _wait(self) -> None:
-        """Wait until there is work here; show life meanwhile.
+        """Wait for more to write, and send keep-alive comments.
 
-        Without the comment lines a caller couldn't tell a frozen entry
-        from an engine that takes its time.
+        Without them a caller couldn't tell a frozen entry from a slow
+        engine.
         """
-        await self.wanted.wait()
-        self.wanted.clear()
-        if self._quiet_for() >= KEEP_ALIVE_S and not self.generation.ended:
+        await self.wakeup.wait()
+        self.wakeup.clear()
+        if (
+            self._idle_s() >= KEEP_ALIVE_INTERVAL_S
+            and not self.generation.ended
+        ):
             self.sent_at = time.monotonic()
             await self.response.write(_KEEP_ALIVE)
 
-    def _quiet_for(self) -> float:
+    def _idle_s(self) -> float:
         return time.monotonic() - self.sent_at
 
-    def _check_quiet(self) -> None:
-        """Wake the task once nothing was sent for a while."""
-        left = KEEP_ALIVE_S - self._quiet_for()
-        if left <= 0:
-            self.wanted.set()
-            left = KEEP_ALIVE_S
+    def _check_keep_alive(self) -> None:
+        """Wake the task when a keep-alive comment is due."""
+        remaining = KEEP_ALIVE_INTERVAL_S - self._idle_s()
+        if remaining <= 0:
+            self.wakeup.set()
+            remaining = KEEP_ALIVE_INTERVAL_S
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(max(0.01, left), self._check_quiet)
+        self.timer = loop.call_later(
+            max(0.01, remaining), self._check_keep_alive
+        )
 
-    def _on_more(self) -> None:
+    def _on_progress(self) -> None:
         transport = self.transport
         if (
             transport is None
@@ -92,44 +97,44 @@
             or transport.get_write_buffer_size()
             or self.generation.ended
         ):
-            self.wanted.set()
+            self.wakeup.set()
             return
-        data = self._take()
+        data = self._take_events()
         if not data:
             return
         try:
-            # With an empty buffer this write ends without waiting.
+            # With an empty buffer this write completes without suspending.
             self.response.write(data).send(None)
         except StopIteration:
             return
         except ConnectionError:
-            self.wanted.set()
+            self.wakeup.set()
 
-    async def _catch_up(self) -> None:
-        while data := self._take():
+    async def _flush(self) -> None:
+        while data := self._take_events():
             await self.response.write(data)
 
-    def _take(self) -> bytes:
-        """Return events for what is visible and not yet sent."""
+    def _take_events(self) -> bytes:
+        """Return events for the tokens that are visible but not yet sent."""
         start, self.sent = self.sent, max(self.sent, self.generation.visible)
         self.sent_at = time.monotonic()
         return _events(self.generation.transcript.tokens, start, self.sent)
 
 
 def _events(tokens: list[str], start: int, stop: int) -> bytes:
-    """Return server-sent events for tokens; the id is the offset."""
-    parts = []
+    """Encode tokens as server-sent events with their offset as the id."""
+    events = []
     for offset in range(start, stop):
         delta = _encode(tokens[offset])
-        parts.append(
+        events.append(
             b'id: %d\ndata: {"choices":[{"index":0,"delta":{"content":%b}}]}'
             b'\n\n' % (offset, delta)
         )
-    return b''.join(parts)
+    return b''.join(events)
 
 
-def _end(generation: _generation.Generation) -> bytes:
-    """Return the end mark, or the event of an honest refusal."""
+def _final_events(generation: _generation.Generation) -> bytes:
+    """Encode the end mark, or an error event."""
     if generation.error is not None:
         return b'event: error\ndata: %b\n\n' % _encode(generation.error.body())
     finish = _encode(generation.transcript.finish)
--- a/src/bulrushhold/entry/_control.py
+++ b/src/bulrushhold/entry/_control.py
@@ -1,4 +1,4 @@
-"""The entry's side of control: commands and the table in force."""
+"""Client of the control instances, and a local copy of the table."""
 
 import asyncio
 import collections.abc as cabc
@@ -13,16 +13,16 @@
 from bulrushhold import ports
 from bulrushhold import settings
 
-TRY_S: t.Final = 1.0
-PROPOSAL_TRY_S: t.Final = 3.5
-PAUSE_S: t.Final = 0.1
+READ_TIMEOUT_S: t.Final = 1.0
+PROPOSAL_TIMEOUT_S: t.Final = 3.5
+RETRY_DELAY_S: t.Final = 0.1
 
 
 class ControlClient:
-    """Finds the leader and asks it.
+    """Sends requests to the control leader, and finds a new one.
 
-    Every command names itself (edit id, claim holder), so that one whose
-    answer was lost is simply sent again.
+    Commands carry an id (edit id, claim holder), so that one whose reply
+    was lost can be sent again.
     """
 
     def __init__(
@@ -35,14 +35,14 @@
     async def propose(
         self, command: messages.Message, deadline_s: float
     ) -> t.Any:
-        """Have a command committed, and return its result.
+        """Commit a command and return its result.
 
-        :param deadline_s: seconds to go on trying.
-        :raises PeerError: where that isn't known to have happened; the
-            command may yet be committed.
+        :param deadline_s: seconds for which to retry.
+        :raises PeerError: if no commit was confirmed; the command may
+            still be committed.
         """
         proposal = messages.Proposal(messages.encode(command))
-        reply = await self._ask(proposal, PROPOSAL_TRY_S, deadline_s)
+        reply = await self._request(proposal, PROPOSAL_TIMEOUT_S, deadline_s)
         if not reply.result:
             return None
         result = messages.decode(reply.result)
@@ -53,58 +53,60 @@
     async def read(
         self, request: messages.Message, deadline_s: float
     ) -> t.Any:
-        """Ask the leader for something it answers under its lease.
+        """Send a read that the leader serves under its lease.
 
-        :raises PeerError: where no leader answered in time.
+        :raises PeerError: if no leader answered in time.
         """
-        return await self._ask(request, TRY_S, deadline_s)
+        return await self._request(request, READ_TIMEOUT_S, deadline_s)
 
     async def read_status(self) -> dict[str, t.Any]:
-        """Return the status of the leader, or of whoever answers.
+        """Return the status of the leader, or else of another replica.
 
-        :raises PeerError: where no control instance answered.
+        :raises PeerError: if no control instance answered.
         """
-        last: errors.PeerError | None = None
+        last_error: errors.PeerError | None = None
         status: messages.StatusReply | None = None
         for address in [self.leader, *self.addresses]:
             try:
                 status = await self.transport.request(
-                    address, messages.StatusRead(), TRY_S / 2
+                    address, messages.StatusRead(), READ_TIMEOUT_S / 2
                 )
             except errors.PeerError as error:
-                last = error
+                last_error = error
                 continue
             if status.role == 'leader':
                 break
         if status is None:
-            raise last or errors.PeerError('no control', 'status')
+            raise last_error or errors.PeerError(
+                'no control instance answered', 'status'
+            )
         return attrs.asdict(status)
 
-    async def _ask(
-        self, request: messages.Message, try_s: float, deadline_s: float
+    async def _request(
+        self, request: messages.Message, timeout_s: float, deadline_s: float
     ) -> t.Any:
-        end = time.monotonic() + deadline_s
-        last: errors.PeerError | None = None
+        deadline = time.monotonic() + deadline_s
+        last_error: errors.PeerError | None = None
         while True:
-            left = end - time.monotonic()
-            if left <= 0:
-                raise last or errors.PeerError(
-                    'no leader', 'control', self.leader
+            remaining = deadline - time.monotonic()
+            if remaining <= 0:
+                raise last_error or errors.PeerError(
+                    'no control leader answered', 'control', self.leader
                 )
             try:
                 reply = await self.transport.request(
-                    self.leader, request, min(try_s, left)
+                    self.leader, request, min(timeout_s, remaining)
                 )
             except errors.PeerError as error:
-                last = error
+                last_error = error
                 self._next_leader('')
                 continue
             if reply.status == 'done':
                 return reply
-            last = errors.PeerError(reply.status, 'control', self.leader)
+            last_error = errors.PeerError(reply.status, 'control', self.leader)
             if reply.status == 'not_leader':
                 self._next_leader(reply.leader)
-            await asyncio.sleep(min(PAUSE_S, max(0.0, left)))
+            await asyncio.sleep(min(RETRY_DELAY_S, max(0.0, remaining)))
 
     def _next_leader(self, hint: str) -> None:
         if hint and hint != self.leader:
@@ -118,10 +120,11 @@
 
 
 class TableView:
-    """The table in force at this entry; its revision only grows.
+    """This entry's copy of the table; its revision never decreases.
 
-    :param confirmed_at: monotonic seconds at which the last poll that a
-        leader answered under its lease was sent.
+    ``confirmed_at`` is the monotonic time at which the last poll that a
+    leader answered was sent. The callbacks in ``changed`` run after each
+    update.
     """
 
     def __init__(
@@ -143,15 +146,15 @@
         self.changed: list[cabc.Callable[[], None]] = []
 
     @property
-    def known(self) -> bool:
-        """Whether a leader has ever confirmed a table."""
+    def confirmed(self) -> bool:
+        """Whether a leader has confirmed the table at least once."""
         return self.confirmed_at is not None
 
     def in_force(self) -> bool:
-        """Whether new work may be judged by this table.
+        """Whether new requests may be admitted under this table.
 
-        A cut-off entry could go on with limits that operators have long
-        taken back; the setting ``when_table_stale`` decides.
+        A partitioned entry may hold outdated limits; the setting
+        ``when_table_stale`` decides whether it keeps serving.
         """
         if self.confirmed_at is None:
             return False
@@ -170,34 +173,34 @@
             await asyncio.sleep(self.config.table_poll_s)
 
     async def poll(self) -> None:
-        """Ask for changes once, and take them in."""
-        sent = self.clock()
+        """Fetch and apply changes once."""
+        sent_at = self.clock()
         read = messages.TableRead(
             self.revision, self.config.name, self.refusals_revision
         )
-        reply = await self.control.read(read, TRY_S * 3)
-        self.take(reply, sent)
+        reply = await self.control.read(read, READ_TIMEOUT_S * 3)
+        self.take(reply, sent_at)
 
-    def take(self, reply: messages.TableReply, sent: float) -> None:
-        """Take in a leader's answer to a poll sent at ``sent``."""
+    def take(self, reply: messages.TableReply, sent_at: float) -> None:
+        """Apply a leader's reply to a poll sent at ``sent_at``."""
         if reply.revision < self.revision:
-            # Only a leader of a log that lost commits could say this.
+            # Possible only if the control log lost committed entries.
             loguru.logger.error(
-                'table revision {} after {}; not taken',
+                'table revision {} is older than {}; ignored',
                 reply.revision,
                 self.revision,
             )
             return
-        self.confirmed_at = sent
-        changed = self._take_refusals(reply)
+        self.confirmed_at = sent_at
+        changed = self._apply_refusals(reply)
         if reply.revision != self.revision:
-            self._take_rows(reply)
+            self._apply_rows(reply)
             changed = True
         if changed:
-            for call in self.changed:
-                call()
+            for callback in self.changed:
+                callback()
 
-    def _take_rows(self, reply: messages.TableReply) -> None:
+    def _apply_rows(self, reply: messages.TableReply) -> None:
         if reply.whole:
             self.rows = {}
         for key in reply.removed:
@@ -205,10 +208,10 @@
         for row in reply.rows:
             self.rows[row.key] = row
         self.revision = reply.revision
-        self._weigh()
+        self._sum_account_weights()
         loguru.logger.bind(revision=reply.revision).info('table in force')
 
-    def _take_refusals(self, reply: messages.TableReply) -> bool:
+    def _apply_refusals(self, reply: messages.TableReply) -> bool:
         if reply.refusals is None:
             return False
         self.quarantined = frozenset(reply.refusals.quarantined)
@@ -216,7 +219,7 @@
         self.refusals_revision = reply.refusals_revision
         return True
 
-    def _weigh(self) -> None:
+    def _sum_account_weights(self) -> None:
         self.accounts = {}
         for row in self.rows.values():
             weight = self.accounts.get(row.account, 0.0)
--- a/src/bulrushhold/entry/_copywriter.py
+++ b/src/bulrushhold/entry/_copywriter.py
@@ -1,4 +1,4 @@
-"""Sends transcripts to this entry's copy peers before they are shown."""
+"""Replicates transcripts to peer entries before callers see them."""
 
 import asyncio
 import time
@@ -13,26 +13,30 @@
 from bulrushhold import ports
 from bulrushhold import settings
 
-LOST_PEER_PAUSE_S: t.Final = 5.0
+LOST_PEER_RETRY_S: t.Final = 5.0
 MAX_TOKENS_PER_APPEND: t.Final = 20_000
 
 
 @attrs.define(eq=False)
 class _Peer:
-    """One copy peer and the streams that it lags behind in."""
+    """A peer that holds copies of this entry's transcripts.
+
+    :param dirty: generations with tokens that the peer hasn't stored.
+    :param down_until: monotonic seconds until which it counts as down.
+    """
 
     address: str
     dirty: dict[str, _generation.Generation] = attrs.field(factory=dict)
-    work: asyncio.Event = attrs.field(factory=asyncio.Event)
+    has_work: asyncio.Event = attrs.field(factory=asyncio.Event)
     down_until: float = 0.0
 
 
 class CopyWriter:
-    """Appends the tokens of all streams, batched per peer.
+    """Replicates the tokens of all streams, batched per peer.
 
-    One batch at a time is under way to a peer, and batches are at least
-    ``batch_s`` apart: an idle entry sends each token at once, and a busy
-    one sends the tokens of many streams in one message.
+    Each peer has at most one batch in flight, and batches are at least
+    ``batch_s`` apart: an idle entry sends each token immediately, a loaded
+    one combines the tokens of many streams in one message.
     """
 
     def __init__(
@@ -46,54 +50,54 @@
         self.metrics = metrics
         self.peers: dict[str, _Peer] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        self.open: dict[str, _generation.Generation] = {}
+        self.unfinished: dict[str, _generation.Generation] = {}
 
     def set_peers(self, addresses: list[str]) -> None:
-        """Write to these peers from now on.
+        """Replace the set of peers.
 
-        A new peer first gets the transcripts that are open.
+        A new peer first receives all unfinished transcripts.
         """
         for address in set(self.peers) - set(addresses):
             del self.peers[address]
             self.tasks.pop(address).cancel()
         for address in addresses:
             if address not in self.peers:
-                peer = _Peer(address, dirty=dict(self.open))
-                peer.work.set()
+                peer = _Peer(address, dirty=dict(self.unfinished))
+                peer.has_work.set()
                 self.peers[address] = peer
                 self.tasks[address] = asyncio.get_running_loop().create_task(
-                    self._write(peer)
+                    self._replicate_to(peer)
                 )
-        for generation in self.open.values():
-            self._show(generation)
+        for generation in self.unfinished.values():
+            self._update_visible(generation)
 
-    def wrote(self, generation: _generation.Generation) -> None:
-        """Learn that a transcript has grown or ended."""
-        self.open[generation.key] = generation
+    def replicate(self, generation: _generation.Generation) -> None:
+        """Send a transcript's new tokens or its end to the peers."""
+        self.unfinished[generation.key] = generation
         if not self.peers:
-            self._show(generation)
+            self._update_visible(generation)
             return
         now = time.monotonic()
         waiting = False
         for peer in self.peers.values():
             peer.dirty[generation.key] = generation
-            peer.work.set()
+            peer.has_work.set()
             waiting = waiting or now >= peer.down_until
         if not waiting:
-            self._show(generation)
+            self._update_visible(generation)
 
     async def close(self) -> None:
-        """Stop writing."""
+        """Stop replicating."""
         tasks = list(self.tasks.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _show(self, generation: _generation.Generation) -> None:
-        """Let the caller see what every live peer holds.
+    def _update_visible(self, generation: _generation.Generation) -> None:
+        """Make visible the tokens that every live peer has stored.
 
-        With no live peer the tokens are shown all the same: waiting
-        would turn the loss of copies into the loss of the answer.
+        With no live peer all tokens become visible, so that losing the
+        copies doesn't also stop the answer.
         """
         now = time.monotonic()
         acked = [
@@ -104,14 +108,14 @@
         length = len(generation.transcript.tokens)
         if self.peers and not acked:
             self.metrics.count('copies.none')
-        generation.show(min([length, *acked]))
-        if generation.shown_whole:
-            self.open.pop(generation.key, None)
+        generation.advance_visible(min([length, *acked]))
+        if generation.fully_visible:
+            self.unfinished.pop(generation.key, None)
 
-    async def _write(self, peer: _Peer) -> None:
+    async def _replicate_to(self, peer: _Peer) -> None:
         while True:
-            await peer.work.wait()
-            peer.work.clear()
+            await peer.has_work.wait()
+            peer.has_work.clear()
             batch, peer.dirty = peer.dirty, {}
             started = time.monotonic()
             await self._send(peer, list(batch.values()))
@@ -129,13 +133,13 @@
                 self.config.ack_s,
             )
         except errors.PeerError as error:
-            await self._lose(peer, batch, error)
+            await self._on_peer_lost(peer, batch, error)
             return
-        unlike = {ack.number: ack for ack in reply.exceptions}
+        exceptions = {ack.number: ack for ack in reply.exceptions}
         for number, append in enumerate(appends):
-            ack = unlike.get(number)
+            ack = exceptions.get(number)
             length = append.offset + len(append.tokens)
-            self._take_ack(
+            self._apply_ack(
                 peer,
                 batch[number],
                 length if ack is None else ack.length,
@@ -148,17 +152,17 @@
         offset = generation.acked.get(peer.address, 0)
         transcript = generation.transcript
         tokens = transcript.tokens[offset : offset + MAX_TOKENS_PER_APPEND]
-        whole = offset + len(tokens) == len(transcript.tokens)
+        complete = offset + len(tokens) == len(transcript.tokens)
         return messages.CopyAppend(
             generation.key,
             generation.epoch,
             offset,
             tokens,
             transcript.version,
-            transcript.finish if whole else '',
+            transcript.finish if complete else '',
         )
 
-    def _take_ack(
+    def _apply_ack(
         self,
         peer: _Peer,
         generation: _generation.Generation,
@@ -168,15 +172,15 @@
     ) -> None:
         if fenced:
             generation.fence(peer.address)
-            self.open.pop(generation.key, None)
+            self.unfinished.pop(generation.key, None)
             return
         generation.acked[peer.address] = length
         if length < len(generation.transcript.tokens):
             peer.dirty[generation.key] = generation
-            peer.work.set()
-        self._show(generation)
+            peer.has_work.set()
+        self._update_visible(generation)
 
-    async def _lose(
+    async def _on_peer_lost(
         self,
         peer: _Peer,
         batch: list[_generation.Generation],
@@ -184,13 +188,13 @@
     ) -> None:
         loguru.logger.warning('copy peer lost: {}', error)
         self.metrics.count('copies.peer_lost')
-        peer.down_until = time.monotonic() + LOST_PEER_PAUSE_S
-        for generation in [*batch, *self.open.values()]:
-            self._show(generation)
-        await asyncio.sleep(LOST_PEER_PAUSE_S)
-        # A peer that was restarted has nothing: all goes there again.
-        for generation in self.open.values():
+        peer.down_until = time.monotonic() + LOST_PEER_RETRY_S
+        for generation in [*batch, *self.unfinished.values()]:
+            self._update_visible(generation)
+        await asyncio.sleep(LOST_PEER_RETRY_S)
+        # A restarted peer has lost its copies, so everything is sent again.
+        for generation in self.unfinished.values():
             generation.acked.pop(peer.address, None)
-        peer.dirty = dict(self.open)
+        peer.dirty = dict(self.unfinished)
         if peer.dirty:
-            peer.work.set()
+            peer.has_work.set()
--- a/src/bulrushhold/entry/_keys.py
+++ b/src/bulrushhold/entry/_keys.py
@@ -1,4 +1,4 @@
-"""Who serves a key: pointers at its homes, and taking a key over."""
+"""Ownership of idempotency keys, and takeover from another entry."""
 
 import asyncio
 import collections.abc as cabc
@@ -16,17 +16,17 @@
 from bulrushhold import settings
 
 POINTER_HOMES: t.Final = 3
-ASK_S: t.Final = 0.4
-TRIES: t.Final = 4
+REQUEST_TIMEOUT_S: t.Final = 0.4
+MAX_ROUNDS: t.Final = 4
 RETRY_AFTER_S: t.Final = 1.0
 
 
 @attrs.frozen
-class Taken:
-    """A key that this entry now serves.
+class KeyOwnership:
+    """A key that this entry has acquired.
 
-    :param since: the epoch that began its text.
-    :param former: what the former entry had written, if it was found.
+    :param since: epoch in which the text was started.
+    :param former: transcript of the previous owner, if one was found.
     """
 
     epoch: int
@@ -35,7 +35,7 @@
 
 
 class KeyTaker:
-    """Registers this entry for a key, and fetches what exists of it."""
+    """Registers this entry as a key's owner and fetches its transcript."""
 
     def __init__(
         self,
@@ -50,47 +50,53 @@
         self.store = store
         self.entries = entries
         self.copies = copies
-        self.own = str(config.peer)
-        self.tie = xxhash.xxh3_64_intdigest(config.name.encode()) & 0xFFFF
+        self.own_address = str(config.peer)
+        self.epoch_suffix = (
+            xxhash.xxh3_64_intdigest(config.name.encode()) & 0xFFFF
+        )
         transport.handle(messages.PointerTake, self._on_pointer)
         transport.handle(messages.CopyBatch, self._on_batch)
         transport.handle(messages.CopyTake, self._on_take)
 
-    def fresh_epoch(self) -> int:
-        """Return an epoch that no other entry uses: time, then name."""
-        return (int(time.time() * 1000) << 16) | self.tie
+    def new_epoch(self) -> int:
+        """Return an epoch unique to this entry: time, then a name hash."""
+        return (int(time.time() * 1000) << 16) | self.epoch_suffix
 
-    async def take(self, key: str, fingerprint: str, have: int) -> Taken:
-        """Become the one entry that serves a key.
+    async def take(
+        self, key: str, fingerprint: str, received: int
+    ) -> KeyOwnership:
+        """Become the only owner of a key.
 
-        :param have: tokens that the caller has.
-        :raises RequestError: where the key was used for another content,
-            its homes can't be asked, or what the caller has may be of a
-            text that can't be found.
+        :param received: number of tokens that the caller already has.
+        :raises RequestError: if the key was used for other content, too
+            few of its homes answer, or the caller's tokens may belong to
+            a text of which no copy was found.
         """
-        epoch = self.fresh_epoch()
-        lacking = False
-        for _ in range(TRIES):
-            found = await self._take_pointers(key, epoch, fingerprint)
-            if found.mismatch:
+        epoch = self.new_epoch()
+        no_majority = False
+        for _ in range(MAX_ROUNDS):
+            pointers = await self._take_pointers(key, epoch, fingerprint)
+            if pointers.mismatch:
                 raise errors.RequestError(
                     'the idempotency key was used for another request',
                     'key',
                     status=422,
                 )
-            if not found.majority:
-                lacking = True
+            if not pointers.majority:
+                no_majority = True
                 continue
-            if found.epoch > epoch:
-                # A clock behind another's: go on from the epoch in force.
-                epoch = (((found.epoch >> 16) + 1) << 16) | self.tie
+            if pointers.epoch > epoch:
+                # This clock is behind: continue from the current epoch.
+                epoch = (
+                    ((pointers.epoch >> 16) + 1) << 16
+                ) | self.epoch_suffix
                 continue
-            copy = await self._take_copies(key, epoch, found)
-            known = len(copy.tokens) if copy else 0
-            if have and (have > known or not found.sure):
+            copy = await self._take_copies(key, epoch, pointers)
+            held = len(copy.tokens) if copy else 0
+            if received and (received > held or not pointers.sure):
                 raise errors.RequestError(
-                    f'the answer is not known up to token {have}; ask '
-                    'anew, under a new key',
+                    f'the answer is not known up to token {received}; send '
+                    'the request again with a new key',
                     'resume',
                     ran=errors.Ran.UNKNOWN,
                     status=410,
@@ -98,13 +104,13 @@
             if copy is not None and not (copy.tokens or copy.finish):
                 copy = None
             if copy is not None:
-                return Taken(epoch, found.since, copy)
-            if await self._begin(key, epoch, fingerprint):
-                return Taken(epoch, epoch, None)
-        if lacking:
+                return KeyOwnership(epoch, pointers.since, copy)
+            if await self._begin_text(key, epoch, fingerprint):
+                return KeyOwnership(epoch, epoch, None)
+        if no_majority:
             raise self._no_majority()
         raise errors.RequestError(
-            'other entries are taking this request over',
+            'other entries are taking over this request',
             'key',
             status=409,
             ran=errors.Ran.UNKNOWN,
@@ -113,45 +119,51 @@
 
     def _no_majority(self) -> errors.RequestError:
         return errors.RequestError(
-            'too few entries that would know the key can be asked',
+            'too few homes of the idempotency key can be reached',
             'key',
             ran=errors.Ran.UNKNOWN,
             status=503,
             retry_after=RETRY_AFTER_S,
         )
 
-    async def _begin(self, key: str, epoch: int, fingerprint: str) -> bool:
-        """Say at a majority of homes that a new text begins."""
-        found = await self._take_pointers(key, epoch, fingerprint, begins=True)
-        return found.majority and found.epoch == epoch
+    async def _begin_text(
+        self, key: str, epoch: int, fingerprint: str
+    ) -> bool:
+        """Register the start of a new text at a majority of homes."""
+        pointers = await self._take_pointers(
+            key, epoch, fingerprint, begins=True
+        )
+        return pointers.majority and pointers.epoch == epoch
 
-    async def still_ours(self, key: str, epoch: int, fingerprint: str) -> bool:
-        """Whether no other entry has taken a key over from this one.
+    async def still_owned(
+        self, key: str, epoch: int, fingerprint: str
+    ) -> bool:
+        """Whether this entry still owns a key.
 
-        A caller may come back to an entry that doesn't know yet that
-        another one has served it in between, maybe from another text.
+        A caller may reconnect to an entry that hasn't noticed a takeover
+        by another one, which may have started a different text.
 
-        :raises RequestError: where too few homes can be asked.
+        :raises RequestError: if too few homes answer.
         """
-        for _ in range(TRIES):
-            found = await self._take_pointers(key, epoch, fingerprint)
-            if found.majority:
-                return found.epoch == epoch
+        for _ in range(MAX_ROUNDS):
+            pointers = await self._take_pointers(key, epoch, fingerprint)
+            if pointers.majority:
+                return pointers.epoch == epoch
         raise self._no_majority()
 
     def refresh(
         self, key: str, epoch: int, since: int, fingerprint: str
     ) -> None:
-        """Tell the homes of a key that this entry serves it, and wait not.
+        """Renew this entry's ownership at a key's homes, without waiting.
 
-        A text that runs for minutes would else be forgotten by its homes,
-        and a home that has come anew wouldn't learn of it.
+        Otherwise the homes of a long-running text would expire its
+        pointer, and a new home would never learn of it.
         """
         take = messages.PointerTake(
             key, epoch, fingerprint, self.copies(), since=since
         )
         for home in decisions.homes(key, self.entries(), POINTER_HOMES):
-            if home.peer == self.own:
+            if home.peer == self.own_address:
                 self.store.take_pointer(take, time.monotonic())
             else:
                 self.transport.send(home.peer, take)
@@ -163,14 +175,16 @@
             key, epoch, fingerprint, self.copies(), begins
         )
         homes = decisions.homes(key, self.entries(), POINTER_HOMES)
-        states = await self._ask([home.peer for home in homes], take)
+        states = await self._request_all([home.peer for home in homes], take)
         return decisions.standing(states, len(homes))
 
     async def _take_copies(
-        self, key: str, epoch: int, found: decisions.Standing
+        self, key: str, epoch: int, pointers: decisions.Standing
     ) -> messages.CopyState | None:
-        states = await self._ask(found.former, messages.CopyTake(key, epoch))
-        best = decisions.best_copy(states, found.since)
+        states = await self._request_all(
+            pointers.former, messages.CopyTake(key, epoch)
+        )
+        best = decisions.best_copy(states, pointers.since)
         if best is not None:
             node.log_decision(
                 'take over',
@@ -181,20 +195,24 @@
             )
         return best
 
-    async def _ask(self, addresses: list[str], message: t.Any) -> list[t.Any]:
+    async def _request_all(
+        self, addresses: list[str], message: t.Any
+    ) -> list[t.Any]:
         answers = await asyncio.gather(
-            *(self._ask_one(address, message) for address in addresses)
+            *(self._request_one(address, message) for address in addresses)
         )
         return [answer for answer in answers if answer is not None]
 
-    async def _ask_one(self, address: str, message: t.Any) -> t.Any:
-        if address == self.own:
+    async def _request_one(self, address: str, message: t.Any) -> t.Any:
+        if address == self.own_address:
             now = time.monotonic()
             if isinstance(message, messages.PointerTake):
                 return self.store.take_pointer(message, now)
             return self.store.take(message, now)
         try:
-            return await self.transport.request(address, message, ASK_S)
+            return await self.transport.request(
+                address, message, REQUEST_TIMEOUT_S
+            )
         except errors.PeerError:
             return None
 
--- a/src/bulrushhold/entry/_operators.py
+++ b/src/bulrushhold/entry/_operators.py
@@ -1,4 +1,4 @@
-"""What operators ask of an entry: the table and the quarantine."""
+"""HTTP routes for operators: the table and the quarantine."""
 
 import hmac
 import time
@@ -21,9 +21,9 @@
 
 
 class OperatorRoutes:
-    """Pulls, pushes and lifts, for those who hold the operator key.
+    """Routes to pull and push the table and to lift quarantines.
 
-    :param key: the operator key; ``''`` refuses everyone.
+    :param key: operator key; ``''`` rejects all requests.
     """
 
     def __init__(self, control: _control.ControlClient, key: str) -> None:
@@ -31,7 +31,7 @@
         self.key = key
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes."""
+        """Return the aiohttp route definitions."""
         return [
             web.get('/v1/table', self._pull),
             web.post('/v1/table', self._push),
@@ -40,17 +40,21 @@
         ]
 
     def _check_operator(self, request: web.Request) -> None:
-        given = request.headers.get('Authorization', '')
-        wanted = f'Bearer {self.key}'
+        actual = request.headers.get('Authorization', '')
+        expected = f'Bearer {self.key}'
         if not self.key:
-            raise _requests.bad('no operator key is set at this entry', 403)
-        if not hmac.compare_digest(given.encode(), wanted.encode()):
-            raise _requests.bad('the operator key is wrong or missing', 403)
+            raise _requests.bad_request(
+                'no operator key is set at this entry', 403
+            )
+        if not hmac.compare_digest(actual.encode(), expected.encode()):
+            raise _requests.bad_request(
+                'the operator key is wrong or missing', 403
+            )
 
     async def _pull(self, request: web.Request) -> web.Response:
         self._check_operator(request)
         read = messages.TableRead(0, '')
-        reply = await self._ask(read)
+        reply = await self._read(read)
         text = decisions.write_csv(reply.rows, reply.revision)
         return web.Response(
             text=text,
@@ -62,12 +66,16 @@
         self._check_operator(request)
         edit_id = request.query.get('edit', '')
         if not edit_id or len(edit_id) > _requests.MAX_KEY_LENGTH:
-            raise _requests.bad('parameter edit is missing or too long')
+            raise _requests.bad_request(
+                'parameter edit is missing or too long'
+            )
         try:
             text = (await request.read()).decode('utf-8')
             rows, base = decisions.read_csv(text)
         except UnicodeDecodeError:
-            raise _requests.bad('the table is not UTF-8 text') from None
+            raise _requests.bad_request(
+                'the table is not UTF-8 text'
+            ) from None
         except ExceptionGroup as group:
             cells = [str(error) for error in group.exceptions]
             return web.Response(
@@ -75,9 +83,9 @@
                 body=_encode({'accepted': False, 'cells': cells}),
                 content_type=_JSON,
             )
-        # Where the base is too old this finds no rows; control refuses it.
-        former = await self._ask(messages.TableRead(0, '', at=base))
-        changed, removed = decisions.difference(former.rows, rows)
+        # Finds no rows if the base is too old; control then rejects the edit.
+        base_table = await self._read(messages.TableRead(0, '', at=base))
+        changed, removed = decisions.difference(base_table.rows, rows)
         edit = messages.TableEdit(
             edit_id,
             base,
@@ -112,21 +120,21 @@
 
     async def _history(self, request: web.Request) -> web.Response:
         self._check_operator(request)
-        reply = await self._ask(messages.HistoryRead())
+        reply = await self._read(messages.HistoryRead())
         return web.Response(body=_encode(reply.items), content_type=_JSON)
 
     async def _lift(self, request: web.Request) -> web.Response:
         self._check_operator(request)
-        order = messages.Quarantine(
+        command = messages.Quarantine(
             request.match_info['fingerprint'], '', time.time(), lift=True
         )
         try:
-            await self.control.propose(order, PUSH_DEADLINE_S)
+            await self.control.propose(command, PUSH_DEADLINE_S)
         except errors.PeerError as error:
             raise self._no_control(error) from error
         return web.Response(body=b'{}', content_type=_JSON)
 
-    async def _ask(self, read: messages.Message) -> t.Any:
+    async def _read(self, read: messages.Message) -> t.Any:
         try:
             return await self.control.read(read, PUSH_DEADLINE_S)
         except errors.PeerError as error:
--- a/src/bulrushhold/entry/_quarantine.py
+++ b/src/bulrushhold/entry/_quarantine.py
@@ -1,4 +1,4 @@
-"""Contents that kill engines, as a generation's runner sees them."""
+"""Quarantine of poison requests, which crash the engines they run on."""
 
 import abc
 import asyncio
@@ -11,72 +11,77 @@
 from bulrushhold import errors
 from bulrushhold import messages
 
-PROPOSE_S: t.Final = 10.0
+PROPOSE_TIMEOUT_S: t.Final = 10.0
 
 
 class Quarantine(abc.ABC):
-    """Who may refuse a content everywhere."""
+    """Quarantines contents at all entries."""
 
     @abc.abstractmethod
-    def refused(self, fingerprint: str) -> bool:
+    def is_quarantined(self, fingerprint: str) -> bool:
         """Whether the content is quarantined."""
 
     @abc.abstractmethod
     def add(self, fingerprint: str, reason: str) -> None:
-        """Have the content refused by every entry."""
+        """Quarantine a content at all entries."""
 
     @abc.abstractmethod
-    def suspect(self, fingerprints: list[str]) -> None:
-        """Tell every entry that an engine died under these contents."""
+    def report_crash(self, fingerprints: list[str]) -> None:
+        """Report to all entries the contents on a crashed engine."""
 
 
 class SharedQuarantine(Quarantine):
-    """Refuses contents here at once, and everywhere through control.
+    """Quarantines contents here immediately, and at all entries by control.
 
-    :param refuse: has this entry's streams of these contents refused.
-    :param spawn: runs work in the background.
-    :param poll_s: seconds until the table here has what control has.
+    ``pending`` holds the contents that the table doesn't list yet.
+
+    :param refuse_streams: fails this entry's streams of these contents.
+    :param spawn: runs a coroutine in the background.
+    :param poll_s: seconds between polls of the table.
     """
 
     def __init__(
         self,
         control: _control.ControlClient,
         table: _control.TableView,
-        refuse: cabc.Callable[[frozenset[str]], None],
+        refuse_streams: cabc.Callable[[frozenset[str]], None],
         spawn: cabc.Callable[[t.Coroutine[t.Any, t.Any, t.Any]], None],
         poll_s: float,
     ) -> None:
         self.control = control
         self.table = table
-        self.refuse = refuse
+        self.refuse_streams = refuse_streams
         self.spawn = spawn
         self.poll_s = poll_s
-        self.own: set[str] = set()
+        self.pending: set[str] = set()
 
-    def refused(self, fingerprint: str) -> bool:
+    def is_quarantined(self, fingerprint: str) -> bool:
         """Whether the content is quarantined."""
-        return fingerprint in self.own or fingerprint in self.table.quarantined
+        return (
+            fingerprint in self.pending
+            or fingerprint in self.table.quarantined
+        )
 
     def add(self, fingerprint: str, reason: str) -> None:
-        """Have the content refused by every entry."""
-        self.own.add(fingerprint)
-        self.refuse(frozenset(self.own))
-        self.spawn(self._tell(fingerprint, reason))
+        """Quarantine a content at all entries."""
+        self.pending.add(fingerprint)
+        self.refuse_streams(frozenset(self.pending))
+        self.spawn(self._propose_quarantine(fingerprint, reason))
 
-    def suspect(self, fingerprints: list[str]) -> None:
-        """Tell every entry that an engine died under these contents."""
+    def report_crash(self, fingerprints: list[str]) -> None:
+        """Report to all entries the contents on a crashed engine."""
         self.spawn(self._propose(messages.Suspected(fingerprints)))
 
-    async def _propose(self, order: messages.Message) -> None:
+    async def _propose(self, command: messages.Message) -> None:
         while True:
             with contextlib.suppress(errors.PeerError):
-                await self.control.propose(order, PROPOSE_S)
+                await self.control.propose(command, PROPOSE_TIMEOUT_S)
                 break
 
-    async def _tell(self, fingerprint: str, reason: str) -> None:
+    async def _propose_quarantine(self, fingerprint: str, reason: str) -> None:
         await self._propose(
             messages.Quarantine(fingerprint, reason, time.time())
         )
-        # From here on control's list counts, so that operators can lift.
+        # By now the table lists it. Kept here, a lift would have no effect.
         await asyncio.sleep(2 * self.poll_s)
-        self.own.discard(fingerprint)
+        self.pending.discard(fingerprint)
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -1,4 +1,4 @@
-"""Runs generations: attempts on engines until one answer is whole."""
+"""Runs generations: attempts on engines until the answer is complete."""
 
 import asyncio
 import contextlib
@@ -19,12 +19,16 @@
 from bulrushhold import settings
 
 RETRY_AFTER_S: t.Final = 2.0
-NO_ENGINE_PAUSE_S: t.Final = 0.1
+NO_ENGINE_RETRY_S: t.Final = 0.1
 QUARANTINE_REASON: t.Final = 'two engines died while they ran this content'
 
 
 class GenerationRunner:
-    """Dispatches, watches and continues generations."""
+    """Dispatches generations to engines, and recovers from lost engines.
+
+    ``running`` maps each engine to the attempts on it, ``crash_probes`` to
+    the check whether it has crashed.
+    """
 
     def __init__(
         self,
@@ -50,25 +54,25 @@
         self.running: dict[
             str, list[tuple[_generation.Generation, _attempts.Attempt]]
         ] = {}
-        self.probes: dict[str, asyncio.Task[None]] = {}
+        self.crash_probes: dict[str, asyncio.Task[None]] = {}
         self.background: set[asyncio.Task[None]] = set()
 
     async def run(self, generation: _generation.Generation) -> None:
-        """Bring a generation to its end: whole, or refused."""
+        """Run a generation until it is complete or has failed."""
         live: dict[int, _attempts.Attempt] = {}
-        place: _admission.Place | None = None
-        former = len(generation.transcript.tokens)
+        slot: _admission.Slot | None = None
+        initial_length = len(generation.transcript.tokens)
         try:
             generation.lifecycle.move('queue')
-            place = await self.admission.enter(generation.order.row)
+            slot = await self.admission.enter(generation.spec.row)
             await self._run(generation, live)
         except errors.RequestError as error:
             if not generation.lifecycle.ended:
                 generation.lifecycle.move('refuse')
                 generation.fail(error)
         except Exception:
-            # Unexpected; without an end the caller would wait for ever for
-            # an answer that no task works on.
+            # Without an error the caller would wait forever, since no task
+            # runs this generation any more.
             loguru.logger.exception('generation failed')
             if not generation.lifecycle.ended:
                 generation.lifecycle.move('refuse')
@@ -83,9 +87,9 @@
         finally:
             for attempt in list(live.values()):
                 self._stop(generation, attempt, live)
-            if place is not None:
-                made = len(generation.transcript.tokens) - former
-                self.admission.leave(place, made)
+            if slot is not None:
+                generated = len(generation.transcript.tokens) - initial_length
+                self.admission.release(slot, generated)
 
     async def _run(
         self,
@@ -99,10 +103,10 @@
             if not live:
                 await self._start(generation, live, started)
                 continue
-            self._drop_losers(generation, live)
-            await self._watch(generation, live)
+            self._stop_losers(generation, live)
+            await self._wait_for_change(generation, live)
         generation.lifecycle.move('finish')
-        self.suspects.clear(generation.order.fingerprint)
+        self.suspects.clear(generation.spec.fingerprint)
 
     # Dispatch
 
@@ -114,31 +118,31 @@
         *,
         avoid: frozenset[str] = frozenset(),
     ) -> None:
-        order = generation.order
+        spec = generation.spec
         transcript = generation.transcript
-        await self._await_verdict(generation)
-        if self.quarantine.refused(order.fingerprint):
+        await self._await_crash_probe(generation)
+        if self.quarantine.is_quarantined(spec.fingerprint):
             raise self._refusal(
                 generation, QUARANTINE_REASON, status=422, retry=None
             )
         if transcript.last_attempt >= self.config.max_attempts:
-            raise self._refusal(generation, 'too many engines were lost')
-        if not self.retries.allows(order.account, transcript.last_attempt):
+            raise self._refusal(generation, 'too many attempts have failed')
+        if not self.retries.allows(spec.account, transcript.last_attempt):
             raise self._refusal(
-                generation, 'the retry budget of the account is spent'
+                generation, 'the retry budget of the account is exhausted'
             )
         choice = self.router.choose_engine(
-            order.model,
-            order.affinity,
+            spec.model,
+            spec.affinity,
             time.monotonic(),
             version=transcript.version if transcript.tokens else '',
-            avoid=generation.lost_engines | avoid,
-            suspect=self.suspects.is_suspect(order.fingerprint),
+            avoid=generation.failed_engines | avoid,
+            suspect=self.suspects.is_suspect(spec.fingerprint),
         )
         node.log_decision(
             'route',
             request=generation.key,
-            account=order.account,
+            account=spec.account,
             attempt=transcript.last_attempt + 1,
             offset=len(transcript.tokens),
             candidates=choice.candidates,
@@ -146,15 +150,15 @@
             reason=choice.reason,
         )
         if choice.state is None:
-            waited = time.monotonic() - started
+            waited_s = time.monotonic() - started
             recovering = transcript.last_attempt > 0
-            if waited > order.row.deadline_s and not recovering:
+            if waited_s > spec.row.deadline_s and not recovering:
                 raise self._refusal(generation, choice.reason)
-            if waited > order.row.deadline_s + 30:
+            if waited_s > spec.row.deadline_s + 30:
                 raise self._refusal(generation, choice.reason)
-            if not self._may_come_back(generation):
+            if not self._engine_listed(generation):
                 raise self._refusal(generation, choice.reason)
-            await asyncio.sleep(NO_ENGINE_PAUSE_S)
+            await asyncio.sleep(NO_ENGINE_RETRY_S)
             return
         self._dispatch(generation, live, choice.state)
 
@@ -165,37 +169,37 @@
         state: decisions.BackendState,
     ) -> None:
         transcript = generation.transcript
-        version = state.server.models[generation.order.model]
+        version = state.server.models[generation.spec.model]
         number = transcript.start_attempt(version)
-        suspect = self.suspects.is_suspect(generation.order.fingerprint)
+        poison_suspect = self.suspects.is_suspect(generation.spec.fingerprint)
         attempt = _attempts.Attempt(
-            number, state, time.monotonic(), suspect=suspect
+            number, state, time.monotonic(), poison_suspect=poison_suspect
         )
         live[number] = attempt
         state.own += 1
-        state.suspects += suspect
+        state.suspects += poison_suspect
         self.running.setdefault(state.server.name, []).append(
             (generation, attempt)
         )
         if generation.lifecycle.state != 'streaming':
             generation.lifecycle.move('dispatch')
-        self.retries.count(generation.order.account, number)
+        self.retries.count(generation.spec.account, number)
         self.metrics.count('attempts')
         attempt.task = asyncio.get_running_loop().create_task(
             self._read(generation, attempt)
         )
-        # A callback: a task cancelled before its first step runs no line.
+        # A callback, since a task cancelled before it starts runs no code.
         attempt.task.add_done_callback(
-            lambda _: self._leave(generation, attempt)
+            lambda _: self._detach(generation, attempt)
         )
 
-    def _may_come_back(self, generation: _generation.Generation) -> bool:
-        """Whether an engine of the needed model and version is listed."""
-        order = generation.order
+    def _engine_listed(self, generation: _generation.Generation) -> bool:
+        """Whether an engine with the required model version is listed."""
+        spec = generation.spec
         version = generation.transcript.version
         return any(
-            order.model in state.server.models
-            and version in ('', state.server.models[order.model])
+            spec.model in state.server.models
+            and version in ('', state.server.models[spec.model])
             for state in self.router.states.values()
         )
 
@@ -204,44 +208,44 @@
     async def _read(
         self, generation: _generation.Generation, attempt: _attempts.Attempt
     ) -> None:
-        order = generation.order
+        spec = generation.spec
         state = attempt.state
         address = state.server.address
-        engine_order = ports.Generate(
+        engine_request = ports.Generate(
             generation.key,
             attempt.number,
-            order.model,
-            order.messages,
+            spec.model,
+            spec.messages,
             list(generation.transcript.tokens),
-            order.max_tokens,
-            order.row.priority,
-            order.row.deadline_s,
+            spec.max_tokens,
+            spec.row.priority,
+            spec.row.deadline_s,
         )
 
         def take(event: ports.Event) -> bool:
-            return self._take(generation, attempt, event)
+            return self._accept_event(generation, attempt, event)
 
         try:
-            await self.engines.run(address, engine_order, take)
+            await self.engines.run(address, engine_request, take)
         except errors.EngineRefusedError as error:
             self._log_loss(generation, attempt, error)
-            self._refused(generation, attempt, error)
+            self._on_engine_refused(generation, attempt, error)
         except errors.EngineLostError as error:
             self._log_loss(generation, attempt, error)
-            attempt.reached = error.step != 'connect'
-            self._lost(generation, attempt)
+            attempt.connected = error.step != 'connect'
+            self._on_engine_lost(generation, attempt)
         finally:
-            self._report(state)
+            self._apply_load_report(state)
             generation.transcript.end_attempt(attempt.number)
-            generation.attempt_ended.set()
+            generation.attempt_changed.set()
 
-    def _take(
+    def _accept_event(
         self,
         generation: _generation.Generation,
         attempt: _attempts.Attempt,
         event: ports.Event,
     ) -> bool:
-        """Take one event; return whether to go on reading."""
+        """Process an event; return whether to continue reading."""
         transcript = generation.transcript
         verdict = transcript.accept(
             event.request,
@@ -251,34 +255,34 @@
             event.finish,
         )
         if verdict is not decisions.Verdict.ACCEPTED:
-            return self._drop(generation, attempt, verdict)
+            return self._reject_event(generation, attempt, verdict)
         now = time.monotonic()
         if attempt.started:
-            attempt.state.gaps.add(now - attempt.heard_at)
+            attempt.state.gaps.add(now - attempt.last_event_at)
         else:
-            self._first_event(generation, attempt)
-        attempt.heard_at = now
+            self._on_first_event(generation, attempt)
+        attempt.last_event_at = now
         generation.last_token_at = now
         self.policy.budget.delivered += 1
-        self.copies.wrote(generation)
+        self.copies.replicate(generation)
         return not event.finish
 
-    def _first_event(
+    def _on_first_event(
         self, generation: _generation.Generation, attempt: _attempts.Attempt
     ) -> None:
         attempt.started = True
-        self.policy.budget.refund(attempt.reserved)
+        self.policy.budget.refund(attempt.hedge_tokens)
         attempt.state.succeeded()
-        self._report(attempt.state)
+        self._apply_load_report(attempt.state)
         if generation.lifecycle.state in ('dispatched', 'recovering'):
             generation.lifecycle.move('stream')
         if generation.last_token_at:
             gap = time.monotonic() - generation.last_token_at
             self.metrics.time('resume', gap)
-        # The supervisor learns which contender won.
-        generation.attempt_ended.set()
+        # Lets the generation's task stop the attempts that lost.
+        generation.attempt_changed.set()
 
-    def _drop(
+    def _reject_event(
         self,
         generation: _generation.Generation,
         attempt: _attempts.Attempt,
@@ -292,7 +296,7 @@
         ).warning('token dropped: {}', verdict.value)
         return verdict is decisions.Verdict.REPEATED
 
-    def _report(self, state: decisions.BackendState) -> None:
+    def _apply_load_report(self, state: decisions.BackendState) -> None:
         report = self.engines.reports.pop(state.server.address, None)
         if report is None:
             return
@@ -300,28 +304,28 @@
         if report.leaving:
             self.router.mark_leaving(state.server.name, time.monotonic())
 
-    def _leave(
+    def _detach(
         self, generation: _generation.Generation, attempt: _attempts.Attempt
     ) -> None:
         state = attempt.state
         state.own -= 1
-        state.suspects -= attempt.suspect
-        here = self.running.get(state.server.name, [])
+        state.suspects -= attempt.poison_suspect
+        affected = self.running.get(state.server.name, [])
         with contextlib.suppress(ValueError):
-            here.remove((generation, attempt))
+            affected.remove((generation, attempt))
 
     # Loss
 
-    def _refused(
+    def _on_engine_refused(
         self,
         generation: _generation.Generation,
         attempt: _attempts.Attempt,
         error: errors.EngineRefusedError,
     ) -> None:
         attempt.state.failed(time.monotonic())
-        generation.lost_engines.add(attempt.state.server.name)
+        generation.failed_engines.add(attempt.state.server.name)
         if error.final and not generation.lifecycle.ended:
-            # Another engine would find the same fault in the request.
+            # The request itself is invalid; any engine would refuse it.
             attempt.state.succeeded()
             generation.lifecycle.move('refuse')
             generation.fail(
@@ -334,97 +338,104 @@
                 )
             )
 
-    def _lost(
+    def _on_engine_lost(
         self, generation: _generation.Generation, attempt: _attempts.Attempt
     ) -> None:
         state = attempt.state
         state.failed(time.monotonic())
-        generation.lost_engines.add(state.server.name)
+        generation.failed_engines.add(state.server.name)
         self.metrics.count('engines.lost')
         name = state.server.name
-        if attempt.counted or not attempt.reached or name in self.probes:
+        if (
+            attempt.crash_counted
+            or not attempt.connected
+            or name in self.crash_probes
+        ):
             return
-        here = list(self.running.get(name, []))
+        affected = list(self.running.get(name, []))
         probe = asyncio.get_running_loop().create_task(
-            self._probe(state, here)
+            self._probe_engine(state, affected)
         )
-        self.probes[name] = probe
-        probe.add_done_callback(lambda _: self.probes.pop(name, None))
+        self.crash_probes[name] = probe
+        probe.add_done_callback(lambda _: self.crash_probes.pop(name, None))
 
-    async def _probe(
+    async def _probe_engine(
         self,
         state: decisions.BackendState,
-        here: list[tuple[_generation.Generation, _attempts.Attempt]],
+        affected: list[tuple[_generation.Generation, _attempts.Attempt]],
     ) -> None:
-        """Count a death, where the engine is really gone.
+        """Count a crash if the engine no longer accepts connections.
 
-        A stream that broke alone, on an engine that still accepts
-        connections, makes nobody a suspect.
+        If only the stream broke, no request becomes a poison suspect.
         """
         if await self.engines.alive(state.server.address):
             return
-        # Who found the engine dead already can't have killed it.
-        here = [(g, attempt) for g, attempt in here if attempt.reached]
-        for _, attempt in here:
-            attempt.counted = True
-        contents = [g.order.fingerprint for g, _ in here]
+        # A request that couldn't connect can't have crashed the engine.
+        affected = [
+            (g, attempt) for g, attempt in affected if attempt.connected
+        ]
+        for _, attempt in affected:
+            attempt.crash_counted = True
+        contents = [g.spec.fingerprint for g, _ in affected]
         node.log_decision(
             'engine died',
             engine=state.server.name,
             suspects=len(set(contents)),
             reason='connection refused',
         )
-        named = self.suspects.engine_died(contents)
-        for fingerprint in named:
+        quarantined = self.suspects.engine_died(contents)
+        for fingerprint in quarantined:
             self.quarantine.add(fingerprint, QUARANTINE_REASON)
-        others = sorted(set(contents) - set(named))
+        others = sorted(set(contents) - set(quarantined))
         if others:
-            self.quarantine.suspect(others)
+            self.quarantine.report_crash(others)
 
-    async def _await_verdict(self, generation: _generation.Generation) -> None:
-        """Let a suspect go on only when its engine's fate is known.
+    async def _await_crash_probe(
+        self, generation: _generation.Generation
+    ) -> None:
+        """Delay a poison suspect until its engine's probe has finished.
 
-        Without the wait, a crashing request could reach a third engine
-        before the second death has named it.
+        Otherwise a poison request could crash a third engine before the
+        second crash has been counted.
         """
-        if not self.suspects.is_suspect(generation.order.fingerprint):
+        if not self.suspects.is_suspect(generation.spec.fingerprint):
             return
-        for name in generation.lost_engines & self.probes.keys():
-            probe = self.probes.get(name)
+        for name in generation.failed_engines & self.crash_probes.keys():
+            probe = self.crash_probes.get(name)
             if probe is not None:
                 await asyncio.wait([probe])
 
-    async def _watch(
+    async def _wait_for_change(
         self,
         generation: _generation.Generation,
         live: dict[int, _attempts.Attempt],
     ) -> None:
-        """Wait for an attempt's end or for its silence."""
-        generation.attempt_ended.clear()
-        self._reap(generation, live)
+        """Wait until an attempt sends its first event, ends or stalls."""
+        generation.attempt_changed.clear()
+        self._remove_ended(generation, live)
         if not live or generation.transcript.finish:
             return
-        timer = _attempts.SilenceTimer(self.policy, generation, live)
+        timer = _attempts.StallTimer(self.policy, generation, live)
         try:
-            await generation.attempt_ended.wait()
+            await generation.attempt_changed.wait()
         finally:
             timer.cancel()
-        self._reap(generation, live)
+        self._remove_ended(generation, live)
         if live and not generation.transcript.finish:
-            await self._judge_silence(generation, live)
+            await self._handle_stall(generation, live)
 
-    async def _judge_silence(
+    async def _handle_stall(
         self,
         generation: _generation.Generation,
         live: dict[int, _attempts.Attempt],
     ) -> None:
-        newest = max(live.values(), key=lambda a: a.heard_at)
-        order = generation.order
-        cost = order.prompt_tokens + len(generation.transcript.tokens)
+        most_recent = max(live.values(), key=lambda a: a.last_event_at)
+        spec = generation.spec
+        cost = spec.prompt_tokens + len(generation.transcript.tokens)
         action = self.policy.on_silence(
-            time.monotonic() - newest.heard_at,
-            newest.state.gaps,
-            started=newest.started,
+            time.monotonic() - most_recent.last_event_at,
+            most_recent.state.gaps,
+            started=most_recent.started,
             reserve=len(live) > 1,
             cost=cost,
         )
@@ -433,35 +444,35 @@
         node.log_decision(
             'silence',
             request=generation.key,
-            engine=newest.state.server.name,
+            engine=most_recent.state.server.name,
             action=action.value,
-            silence_s=round(time.monotonic() - newest.heard_at, 3),
+            silence_s=round(time.monotonic() - most_recent.last_event_at, 3),
         )
         if action is decisions.Action.RESERVE:
-            busy = frozenset(a.state.server.name for a in live.values())
-            await self._start(generation, live, time.monotonic(), avoid=busy)
+            in_use = frozenset(a.state.server.name for a in live.values())
+            await self._start(generation, live, time.monotonic(), avoid=in_use)
             for attempt in live.values():
-                if attempt.state.server.name not in busy:
-                    attempt.reserved = cost
+                if attempt.state.server.name not in in_use:
+                    attempt.hedge_tokens = cost
             return
         for attempt in list(live.values()):
             attempt.state.failed(time.monotonic())
-            generation.lost_engines.add(attempt.state.server.name)
+            generation.failed_engines.add(attempt.state.server.name)
             self._stop(generation, attempt, live)
 
-    def _drop_losers(
+    def _stop_losers(
         self,
         generation: _generation.Generation,
         live: dict[int, _attempts.Attempt],
     ) -> None:
-        """Stop the attempts that another one has overtaken."""
+        """Stop the attempts that lost to another attempt."""
         contenders = generation.transcript.contenders
         for attempt in list(live.values()):
             ended = attempt.task is not None and attempt.task.done()
             if attempt.number not in contenders and not ended:
                 self._stop(generation, attempt, live)
 
-    def _reap(
+    def _remove_ended(
         self,
         generation: _generation.Generation,
         live: dict[int, _attempts.Attempt],
@@ -473,7 +484,7 @@
         if recovering and not generation.lifecycle.ended:
             if generation.lifecycle.state != 'recovering':
                 generation.lifecycle.move('lose')
-        self._drop_losers(generation, live)
+        self._stop_losers(generation, live)
 
     def _stop(
         self,
@@ -481,7 +492,7 @@
         attempt: _attempts.Attempt,
         live: dict[int, _attempts.Attempt],
     ) -> None:
-        """Hear an attempt no more, and tell its engine."""
+        """Stop an attempt, and cancel it at its engine."""
         live.pop(attempt.number, None)
         generation.transcript.end_attempt(attempt.number)
         if attempt.task is None or attempt.task.done():
@@ -496,8 +507,8 @@
         )
         self.background.add(work)
         work.add_done_callback(self.background.discard)
-        live_state = generation.lifecycle.state
-        if not live and live_state in ('dispatched', 'streaming'):
+        state = generation.lifecycle.state
+        if not live and state in ('dispatched', 'streaming'):
             if not generation.transcript.finish:
                 generation.lifecycle.move('lose')
 
--- a/src/bulrushhold/entry/_server.py
+++ b/src/bulrushhold/entry/_server.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP interface to callers and operators."""
+"""HTTP interface of an entry for callers and operators."""
 
 import asyncio
 import contextlib
@@ -28,13 +28,13 @@
 
 NOT_READY_RETRY_S: t.Final = 2.0
 DRAIN_RETRY_S: t.Final = 0.0
-HEADERS_WITHIN_S: t.Final = 0.5
+MAX_HEADER_DELAY_S: t.Final = 0.5
 _JSON: t.Final = 'application/json'
 _encode = msgspec.json.encode
 
 
 class EntryServer:
-    """Answers HTTP requests with what the entry's parts decide."""
+    """Serves callers' HTTP requests."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
 
     @property
     def busy(self) -> int:
-        """Requests in progress."""
+        """The number of requests in progress."""
         return self.streams.running + self.calls
 
     # Errors and admission
@@ -93,19 +93,21 @@
         try:
             return await handler(request)
         except errors.RequestError as error:
-            return self._error(error)
+            return self._error_response(error)
         except web.HTTPRequestEntityTooLarge:
             limit = self.config.max_body_bytes
-            return self._error(
-                _requests.bad(f'the body exceeds {limit} bytes', 413)
+            return self._error_response(
+                _requests.bad_request(f'the body exceeds {limit} bytes', 413)
             )
         except web.HTTPException as error:
-            return self._error(_requests.bad(error.reason, error.status))
+            return self._error_response(
+                _requests.bad_request(error.reason, error.status)
+            )
         except ConnectionResetError:
             raise
         except Exception:
             loguru.logger.exception('request failed')
-            return self._error(
+            return self._error_response(
                 errors.RequestError(
                     'internal error',
                     'entry',
@@ -114,7 +116,7 @@
                 )
             )
 
-    def _error(self, error: errors.RequestError) -> web.Response:
+    def _error_response(self, error: errors.RequestError) -> web.Response:
         self.metrics.count(f'refused.{error.status}')
         headers = {}
         if error.retry_after is not None:
@@ -126,10 +128,11 @@
             headers=headers,
         )
 
-    def _admit(self) -> None:
-        """Refuse new work where this entry mustn't take any.
+    def _check_accepting(self) -> None:
+        """Check that this entry accepts new requests.
 
-        :raises RequestError: with ``ran`` ``no``.
+        :raises RequestError: with ``ran`` ``no``, if it is draining or
+            its table isn't confirmed.
         """
         others = ', '.join(
             instance.http
@@ -151,7 +154,7 @@
                 retry_after=NOT_READY_RETRY_S,
             )
 
-    def _row(self, request: web.Request, work: str) -> messages.Row:
+    def _find_row(self, request: web.Request, work: str) -> messages.Row:
         return _requests.find_row(
             request.headers, self.table.rows, self.table.accounts, work
         )
@@ -160,40 +163,40 @@
 
     async def _chat(self, request: web.Request) -> web.StreamResponse:
         key = _requests.read_key(request.headers)
-        have = _requests.read_resume(request.headers)
+        received = _requests.read_resume(request.headers)
         chat = _requests.read_chat(await request.read())
         account = request.headers.get(_requests.ACCOUNT_HEADER, '')
         if f'{account}/{key}' not in self.streams.generations:
-            # A stream that is here may be read on while the entry drains.
-            self._admit()
+            # Existing streams can still be read while the entry drains.
+            self._check_accepting()
         work = request.headers.get(
             _requests.WORK_HEADER, _requests.DEFAULT_WORK
         )
-        row = self._row(request, work)
-        order = _requests.order_of(chat, row)
-        if not self.view.serves(chat.model):
-            raise _requests.bad(f'unknown model {chat.model!r}', 404)
-        if order.fingerprint in self.table.quarantined:
+        row = self._find_row(request, work)
+        spec = _requests.make_spec(chat, row)
+        if not self.view.has_model(chat.model):
+            raise _requests.bad_request(f'unknown model {chat.model!r}', 404)
+        if spec.fingerprint in self.table.quarantined:
             raise errors.RequestError(
-                'this content is quarantined: it killed two engines',
+                'this content is quarantined: it crashed two engines',
                 'quarantine',
                 status=422,
             )
-        ours = not key
+        owned = not key
         key = key or str(uuid_utils.uuid7())
         generation = await self.streams.open(
-            f'{row.account}/{key}', order, have, ours=ours
+            f'{row.account}/{key}', spec, received, owned=owned
         )
         self.metrics.count('generations')
         generation.readers += 1
         try:
             if chat.stream:
-                return await self._stream(request, generation, key, have)
-            return await self._whole(generation, key)
+                return await self._stream(request, generation, key, received)
+            return await self._complete_answer(generation, key)
         finally:
             generation.readers -= 1
 
-    async def _whole(
+    async def _complete_answer(
         self, generation: _generation.Generation, key: str
     ) -> web.Response:
         while not generation.ended:
@@ -203,7 +206,7 @@
         transcript = generation.transcript
         body = {
             'id': key,
-            'model': generation.order.model,
+            'model': generation.spec.model,
             'choices': [
                 {
                     'index': 0,
@@ -227,11 +230,11 @@
         request: web.Request,
         generation: _generation.Generation,
         key: str,
-        have: int,
+        received: int,
     ) -> web.StreamResponse:
-        await self._await_first(generation, have)
-        if generation.error is not None and generation.visible <= have:
-            # Before the first byte, a refusal can still be an HTTP status.
+        await self._await_first_token(generation, received)
+        if generation.error is not None and generation.visible <= received:
+            # Before the first byte, an error can still be an HTTP status.
             raise generation.error
         response = web.StreamResponse(
             headers={
@@ -241,18 +244,18 @@
             }
         )
         await response.prepare(request)
-        stream = _callerstream.CallerStream(generation, response, have)
+        stream = _callerstream.CallerStream(generation, response, received)
         await stream.run(request.transport)
         return response
 
-    async def _await_first(
-        self, generation: _generation.Generation, have: int
+    async def _await_first_token(
+        self, generation: _generation.Generation, received: int
     ) -> None:
-        """Wait for the first token, or as long as headers may be late."""
+        """Wait for the first token, but no longer than headers may take."""
 
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(HEADERS_WITHIN_S):
-                while generation.visible <= have and not generation.ended:
+            async with asyncio.timeout(MAX_HEADER_DELAY_S):
+                while generation.visible <= received and not generation.ended:
                     await generation.wait()
 
     # Plain services
@@ -260,8 +263,8 @@
     async def _call(self, request: web.Request) -> web.Response:
         service = request.match_info['service']
         path = request.match_info['path']
-        self._admit()
-        row = self._row(request, f'{service}/{path.partition("/")[0]}')
+        self._check_accepting()
+        row = self._find_row(request, f'{service}/{path.partition("/")[0]}')
         key = _requests.read_key(request.headers)
         call = ports.ServiceCall(
             request=str(uuid_utils.uuid4()),
@@ -272,16 +275,18 @@
             content_type=request.content_type,
             timeout_s=row.deadline_s,
         )
-        place = await self.admission.enter_call(row)
+        slot = await self.admission.acquire_call(row)
         self.calls += 1
         try:
             if row.idempotent:
-                answer = await self.services.repeatable(service, row, call)
+                answer = await self.services.call_idempotent(
+                    service, row, call
+                )
             else:
                 answer = await self._call_once(service, row, call, key)
         finally:
             self.calls -= 1
-            self.admission.leave(place, 1)
+            self.admission.release(slot, 1)
         return web.Response(
             status=answer.status,
             body=answer.body,
@@ -296,14 +301,16 @@
         key: str,
     ) -> ports.ServiceAnswer:
         if not key:
-            raise _requests.bad(
-                f'header {_requests.KEY_HEADER} is needed: this call may '
-                'not be repeated'
+            raise _requests.bad_request(
+                f'header {_requests.KEY_HEADER} is needed: this call is '
+                'not idempotent'
             )
-        # Shielded: a caller who leaves must not stop the call between its
-        # run and the record of its outcome.
+        # Shielded, so that a caller's disconnect can't stop the call before
+        # its outcome is recorded.
         return await asyncio.shield(
-            asyncio.ensure_future(self.services.once(service, row, call, key))
+            asyncio.ensure_future(
+                self.services.call_once(service, row, call, key)
+            )
         )
 
     # Entries and health
@@ -311,15 +318,15 @@
     async def _entries(self, request: web.Request) -> web.Response:
         account = request.query.get('account', '')
         if not account:
-            raise _requests.bad('parameter account is missing')
-        near = request.query.get('data_centre', '')
+            raise _requests.bad_request('parameter account is missing')
+        data_centre = request.query.get('data_centre', '')
         weights = self.table.accounts
         share = weights.get(account, 0.0) / (sum(weights.values()) or 1.0)
         chosen = decisions.entries_for(
-            account, share, self.view.listed(), near
+            account, share, self.view.listed(), data_centre
         )
         if len(chosen) > decisions.SMALL_ACCOUNT_ENTRIES:
-            # Callers use the first: a large account's are to be spread.
+            # Callers use the first entry; this spreads a large account.
             random.shuffle(chosen)
         body = {
             'entries': [instance.http for instance in chosen],
@@ -334,7 +341,7 @@
 
     async def _ready(self, request: web.Request) -> web.Response:
         del request
-        self._admit()
+        self._check_accepting()
         return web.Response(text='ready\n')
 
     async def _status(self, request: web.Request) -> web.Response:
--- a/src/bulrushhold/entry/_services.py
+++ b/src/bulrushhold/entry/_services.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: repeated freely, or claimed and run once."""
+"""Calls of plain services: idempotent ones, and ones run at most once."""
 
 import asyncio
 import time
@@ -14,9 +14,9 @@
 from bulrushhold import node
 from bulrushhold import ports
 
-CLAIM_S: t.Final = 5.0
-END_CLAIM_S: t.Final = 30.0
-CLOSE_CLAIM_S: t.Final = 5.0
+CLAIM_TIMEOUT_S: t.Final = 5.0
+END_CLAIM_TIMEOUT_S: t.Final = 30.0
+CLOSE_CLAIM_TIMEOUT_S: t.Final = 5.0
 RECORD_WAIT_S: t.Final = 1.0
 MAX_TRIES: t.Final = 3
 MAX_RECORDED_BYTES: t.Final = 64 << 10
@@ -40,16 +40,16 @@
         self.metrics = metrics
         self.records: set[asyncio.Task[bool]] = set()
 
-    async def repeatable(
+    async def call_idempotent(
         self, service: str, row: messages.Row, call: ports.ServiceCall
     ) -> ports.ServiceAnswer:
-        """Make an idempotent call; another server gets it on a failure.
+        """Make an idempotent call, retrying on other servers.
 
-        :raises RequestError: where every try failed in the deadline.
+        :raises RequestError: if every try failed or the deadline passed.
         """
         end = time.monotonic() + row.deadline_s
         tried: set[str] = set()
-        last: errors.BackendError | None = None
+        last_error: errors.BackendError | None = None
         while len(tried) < MAX_TRIES and time.monotonic() < end:
             state = self._choose(service, row, call, tried)
             if state is None:
@@ -58,28 +58,29 @@
             try:
                 return await self._call(state, call)
             except errors.BackendError as error:
-                last = error
-        if last is None:
+                last_error = error
+        if last_error is None:
             raise self._no_server(service)
         raise errors.RequestError(
-            last.reason,
-            last.step,
-            last.peer,
+            last_error.reason,
+            last_error.step,
+            last_error.peer,
             ran=errors.Ran.UNKNOWN,
             status=502,
             retry_after=RETRY_AFTER_S,
         )
 
-    async def once(
+    async def call_once(
         self,
         service: str,
         row: messages.Row,
         call: ports.ServiceCall,
         key: str,
     ) -> ports.ServiceAnswer:
-        """Make a call that may run once, under a claim.
+        """Make a call at most once, under a claim on its key.
 
-        :raises RequestError: with ``ran`` as far as it is known.
+        :raises RequestError: with ``ran`` saying whether the call was
+            made, as far as is known.
         """
         name = f'{row.account}/{key}'
         holder = str(uuid_utils.uuid4())
@@ -88,24 +89,23 @@
         )
         claim = messages.Claim(
             name,
-            _checked_time(key),
+            _checked_key_time(key),
             decisions.content_fingerprint(content + b'\0' + call.body),
             holder,
         )
         outcome = await self._claim(claim)
         if not outcome.granted:
-            return self._former(outcome)
+            return self._replay_outcome(outcome)
         return await self._run_claimed(service, row, call, claim)
 
     async def _claim(self, claim: messages.Claim) -> messages.ClaimOutcome:
         try:
-            return await self.control.propose(claim, CLAIM_S)
+            return await self.control.propose(claim, CLAIM_TIMEOUT_S)
         except errors.PeerError as error:
-            # The claim may still be committed, for this holder only, and
-            # this holder won't run it: a later try learns "unknown" at
-            # worst, never a second run.
+            # The claim may still be committed, but this holder won't make
+            # the call. A retry gets "unknown" at worst, never a second run.
             raise errors.RequestError(
-                'no majority of control to claim the run',
+                'the claim was not confirmed by a majority of control',
                 'claim',
                 error.peer,
                 ran=errors.Ran.UNKNOWN,
@@ -113,17 +113,22 @@
                 retry_after=RETRY_AFTER_S,
             ) from error
 
-    def _former(self, outcome: messages.ClaimOutcome) -> ports.ServiceAnswer:
-        """Answer a key that was claimed before, from its outcome."""
+    def _replay_outcome(
+        self, outcome: messages.ClaimOutcome
+    ) -> ports.ServiceAnswer:
+        """Answer a repeated key with the recorded outcome."""
         if outcome.state == 'done' and outcome.ran == 'yes':
             return ports.ServiceAnswer(
                 outcome.status, outcome.body, 'application/json'
             )
         reasons = {
-            'open': ('the call is under way, or its entry was lost', 409),
-            'done': ('the call was made and its outcome is unknown', 409),
+            'open': ('the call is in progress, or its entry was lost', 409),
+            'done': ('the call was made, but its outcome is unknown', 409),
             'closed': ('the call was refused before; use a new key', 409),
-            'expired': ('the key is too old to know what became of it', 410),
+            'expired': (
+                'the key is too old; its outcome is no longer known',
+                410,
+            ),
             'mismatch': ('the key was used for another request', 422),
         }
         reason, status = reasons[outcome.state]
@@ -151,7 +156,7 @@
             except errors.BackendError as error:
                 if error.step == 'connect':
                     continue
-                await self._end(
+                await self._end_claim(
                     claim, errors.Ran.UNKNOWN, 0, b'', RECORD_WAIT_S
                 )
                 raise errors.RequestError(
@@ -161,46 +166,48 @@
                     ran=errors.Ran.UNKNOWN,
                     status=502,
                 ) from error
-            await self._record(claim, answer)
+            await self._record_outcome(claim, answer)
             return answer
         return await self._refuse_claimed(service, claim)
 
     async def _refuse_claimed(
         self, service: str, claim: messages.Claim
     ) -> t.NoReturn:
-        """Close the claim, then say that the call was not run.
+        """Close the claim, then report that the call was not made.
 
-        In the other order, a caller that hears ``no`` and tries again
-        could meet a claim that still looks as if it were running.
+        In the opposite order, a retry could find a claim that still looks
+        as if the call were in progress.
         """
-        closed = await self._end(claim, errors.Ran.NO, 0, b'', CLOSE_CLAIM_S)
+        closed = await self._end_claim(
+            claim, errors.Ran.NO, 0, b'', CLOSE_CLAIM_TIMEOUT_S
+        )
         refusal = self._no_server(service)
         if not closed:
             refusal.ran = errors.Ran.UNKNOWN
         raise refusal
 
-    async def _record(
+    async def _record_outcome(
         self, claim: messages.Claim, answer: ports.ServiceAnswer
     ) -> None:
-        """Record an outcome, but don't keep the caller waiting for it.
+        """Record an outcome, waiting only briefly.
 
-        While control has no leader the record is tried on in the
-        background; a resend until then hears that the call is under way.
+        If control has no leader, recording is retried in the background;
+        until then, a repeated key gets the reply for a call in progress.
         """
         work = asyncio.get_running_loop().create_task(
-            self._end(claim, errors.Ran.YES, answer.status, answer.body)
+            self._end_claim(claim, errors.Ran.YES, answer.status, answer.body)
         )
         self.records.add(work)
         work.add_done_callback(self.records.discard)
         await asyncio.wait([work], timeout=RECORD_WAIT_S)
 
-    async def _end(
+    async def _end_claim(
         self,
         claim: messages.Claim,
         ran: errors.Ran,
         status: int,
         body: bytes,
-        within_s: float = END_CLAIM_S,
+        timeout_s: float = END_CLAIM_TIMEOUT_S,
     ) -> bool:
         if len(body) > MAX_RECORDED_BYTES:
             ran, status, body = errors.Ran.UNKNOWN, 0, b''
@@ -208,7 +215,7 @@
             claim.key, claim.holder, ran.value, status, body
         )
         try:
-            await self.control.propose(end, within_s)
+            await self.control.propose(end, timeout_s)
         except errors.PeerError:
             self.metrics.count('claims.end_lost')
             return False
@@ -255,17 +262,19 @@
         return answer
 
     def _no_server(self, service: str) -> errors.RequestError:
-        known = self.router.has_kind(service)
+        listed = self.router.has_kind(service)
         return errors.RequestError(
-            f'no server of service {service!r}',
+            f'no server for service {service!r}',
             'route',
-            status=503 if known else 404,
-            retry_after=RETRY_AFTER_S if known else None,
+            status=503 if listed else 404,
+            retry_after=RETRY_AFTER_S if listed else None,
         )
 
 
-def _checked_time(key: str) -> float:
-    at = _requests.key_time(key)
-    if at > time.time() + MAX_KEY_AHEAD_S:
-        raise _requests.bad('the idempotency key is dated in the future')
-    return at
+def _checked_key_time(key: str) -> float:
+    key_time = _requests.key_time(key)
+    if key_time > time.time() + MAX_KEY_AHEAD_S:
+        raise _requests.bad_request(
+            'the idempotency key is dated in the future'
+        )
+    return key_time
--- a/src/bulrushhold/entry/_streams.py
+++ b/src/bulrushhold/entry/_streams.py
@@ -1,4 +1,4 @@
-"""Generations served by this entry: found, started, kept and ended."""
+"""Registry of the generations that this entry serves."""
 
 import asyncio
 import time
@@ -13,11 +13,11 @@
 from bulrushhold import messages
 from bulrushhold import settings
 
-SWEEP_S: t.Final = 0.5
+SWEEP_INTERVAL_S: t.Final = 0.5
 
 
 class Streams:
-    """All generations of this entry, by key."""
+    """Starts, looks up, expires and cancels generations by key."""
 
     def __init__(
         self,
@@ -33,34 +33,41 @@
         self.copies = copies
         self.store = store
         self.generations: dict[str, _generation.Generation] = {}
-        self.opening: dict[str, asyncio.Lock] = {}
+        self.open_locks: dict[str, asyncio.Lock] = {}
 
     async def open(
-        self, key: str, order: _generation.Order, have: int, *, ours: bool
+        self,
+        key: str,
+        spec: _generation.GenerationSpec,
+        received: int,
+        *,
+        owned: bool,
     ) -> _generation.Generation:
-        """Return the generation of a key, started or continued.
+        """Return the generation of a key, starting it if necessary.
 
-        :param have: tokens that the caller already has.
-        :param ours: the key was made here, so nobody else can know it.
-        :raises RequestError: where the answer can't honestly go on.
+        :param received: number of tokens that the caller already has.
+        :param owned: the key was created here, so no other entry knows it.
+        :raises RequestError: if the answer can't be continued correctly.
         """
-        lock = self.opening.setdefault(key, asyncio.Lock())
+        lock = self.open_locks.setdefault(key, asyncio.Lock())
         async with lock:
             generation = self.generations.get(key)
-            if generation is None or await self._superseded(generation):
-                generation = await self._start(key, order, have, ours=ours)
+            if generation is None or await self._needs_restart(generation):
+                generation = await self._start(
+                    key, spec, received, owned=owned
+                )
         if not lock.locked():
-            self.opening.pop(key, None)
-        if generation.order.fingerprint != order.fingerprint:
+            self.open_locks.pop(key, None)
+        if generation.spec.fingerprint != spec.fingerprint:
             raise errors.RequestError(
                 'the idempotency key was used for another request',
                 'key',
                 status=422,
             )
-        if have > len(generation.transcript.tokens):
+        if received > len(generation.transcript.tokens):
             raise errors.RequestError(
-                f'the answer is not known up to token {have}; ask anew, '
-                'under a new key',
+                f'the answer is not known up to token {received}; send the '
+                'request again with a new key',
                 'resume',
                 ran=errors.Ran.YES,
                 status=410,
@@ -68,7 +75,7 @@
         return generation
 
     def cancel(self, generation: _generation.Generation, reason: str) -> None:
-        """End a generation that nobody wants any more."""
+        """Cancel a generation that has no readers."""
         if not generation.lifecycle.ended:
             generation.lifecycle.move('cancel')
         generation.fail(
@@ -80,9 +87,9 @@
             generation.task.cancel()
 
     def refuse_quarantined(self, quarantined: frozenset[str]) -> None:
-        """End the generations whose content is quarantined by now."""
+        """Fail the generations whose content is quarantined."""
         for generation in self.generations.values():
-            refused = generation.order.fingerprint in quarantined
+            refused = generation.spec.fingerprint in quarantined
             if refused and not generation.lifecycle.ended:
                 generation.lifecycle.move('refuse')
                 generation.fail(
@@ -95,9 +102,9 @@
                 )
 
     async def sweep(self) -> None:
-        """Cancel streams whose caller left; forget old ones."""
+        """Cancel abandoned streams and expire old ones."""
         while True:
-            await asyncio.sleep(min(SWEEP_S, self._refresh_s / 2))
+            await asyncio.sleep(min(SWEEP_INTERVAL_S, self._refresh_s / 2))
             now = time.monotonic()
             self.store.expire(now)
             for key, generation in list(self.generations.items()):
@@ -116,56 +123,64 @@
                 key,
                 generation.epoch,
                 generation.since,
-                generation.order.fingerprint,
+                generation.spec.fingerprint,
             )
         if generation.readers:
-            generation.left_at = None
+            generation.abandoned_at = None
             return
-        if generation.left_at is None:
-            generation.left_at = now
-        left = now - generation.left_at
-        if generation.ended and left > self.config.copies.keep_s:
+        if generation.abandoned_at is None:
+            generation.abandoned_at = now
+        abandoned_s = now - generation.abandoned_at
+        if generation.ended and abandoned_s > self.config.copies.keep_s:
             del self.generations[key]
-        elif not generation.ended and left > self.config.recovery.orphan_s:
-            self.cancel(generation, 'the caller left')
+        elif (
+            not generation.ended
+            and abandoned_s > self.config.recovery.orphan_s
+        ):
+            self.cancel(generation, 'the caller disconnected')
 
     @property
     def running(self) -> int:
-        """Generations that haven't ended."""
+        """The number of generations that haven't ended."""
         return sum(not g.ended for g in self.generations.values())
 
-    async def _superseded(self, generation: _generation.Generation) -> bool:
-        """Whether the caller's return needs a new start here."""
+    async def _needs_restart(self, generation: _generation.Generation) -> bool:
+        """Whether a reconnecting caller needs a new generation object."""
         state = generation.lifecycle.state
         if state in ('fenced', 'cancelled'):
             return True
         if state == 'refused' and not generation.transcript.tokens:
             return True
-        ours = await self.keys.still_ours(
-            generation.key, generation.epoch, generation.order.fingerprint
+        owned = await self.keys.still_owned(
+            generation.key, generation.epoch, generation.spec.fingerprint
         )
-        if not ours:
+        if not owned:
             generation.fence('a pointer home')
-        return not ours
+        return not owned
 
     async def _start(
-        self, key: str, order: _generation.Order, have: int, *, ours: bool
+        self,
+        key: str,
+        spec: _generation.GenerationSpec,
+        received: int,
+        *,
+        owned: bool,
     ) -> _generation.Generation:
-        if ours:
-            # Register without waiting: the caller learns the key with the
-            # first bytes of the answer, not before.
-            epoch = self.keys.fresh_epoch()
-            self.keys.refresh(key, epoch, epoch, order.fingerprint)
-            taken = _keys.Taken(epoch, epoch, None)
+        if owned:
+            # No need to wait: the caller doesn't know the key before the
+            # first bytes of the answer.
+            epoch = self.keys.new_epoch()
+            self.keys.refresh(key, epoch, epoch, spec.fingerprint)
+            ownership = _keys.KeyOwnership(epoch, epoch, None)
         else:
-            taken = await self.keys.take(key, order.fingerprint, have)
-        generation = _generation.Generation(key, order, taken.epoch)
-        generation.since = taken.since
+            ownership = await self.keys.take(key, spec.fingerprint, received)
+        generation = _generation.Generation(key, spec, ownership.epoch)
+        generation.since = ownership.since
         generation.refresh_at = time.monotonic() + self._refresh_s
-        if taken.former is not None:
-            _restore(generation, taken.former)
+        if ownership.former is not None:
+            _restore(generation, ownership.former)
         self.generations[key] = generation
-        self.copies.wrote(generation)
+        self.copies.replicate(generation)
         if generation.transcript.finish:
             generation.lifecycle.move('finish')
             return generation
@@ -182,6 +197,6 @@
     transcript.tokens = list(former.tokens)
     transcript.version = former.version
     transcript.finish = former.finish
-    # What a former entry wrote to its copies may have been shown: it is
-    # settled, and shown again without waiting.
-    generation.show(len(transcript.tokens))
+    # The previous owner may have shown these tokens, so they are final and
+    # visible immediately.
+    generation.advance_visible(len(transcript.tokens))
--- a/src/bulrushhold/entry/_view.py
+++ b/src/bulrushhold/entry/_view.py
@@ -1,4 +1,4 @@
-"""What this entry takes for live: the platform's list and its own signs."""
+"""The instances this entry considers live, by list and by probes."""
 
 import asyncio
 import time
@@ -11,14 +11,14 @@
 from bulrushhold import ports
 from bulrushhold import settings
 
-POLL_S: t.Final = 1.0
+POLL_INTERVAL_S: t.Final = 1.0
 
 
 class PlatformView:
-    """Follows the platform's list.
+    """Polls the platform's list of instances.
 
-    The last list stays in use while the platform can't be asked: an
-    outage of the list must not become an outage of the system.
+    The last list stays in use while the platform is unreachable, so that
+    its outage doesn't stop the system.
     """
 
     def __init__(
@@ -33,12 +33,12 @@
         self.router = router
         self.membership = membership
         self.entries: list[ports.Instance] = []
-        self.heard_at = 0.0
+        self.updated_at = 0.0
         self.changed = asyncio.Event()
 
     @property
-    def own(self) -> ports.Instance:
-        """This entry as others should see it."""
+    def own_instance(self) -> ports.Instance:
+        """This entry as an instance."""
         return ports.Instance(
             self.config.name,
             self.config.data_centre,
@@ -47,7 +47,7 @@
         )
 
     def listed(self) -> list[ports.Instance]:
-        """Return the entries that callers may use."""
+        """Return the listed entries that are live and not leaving."""
         return [
             entry
             for entry in self.entries
@@ -55,14 +55,14 @@
         ]
 
     def copy_peers(self) -> list[str]:
-        """Return the addresses that hold this entry's transcripts."""
+        """Return the addresses of the peers for transcript copies."""
         peers = decisions.copy_peers(
-            self.own, self.listed(), self.config.copies.count
+            self.own_instance, self.listed(), self.config.copies.count
         )
         return [peer.peer for peer in peers]
 
     def engine_slots(self) -> int:
-        """Return the requests that all listed engines run well at once."""
+        """Return the total number of slots of the listed engines."""
         return sum(
             state.server.slots
             for state in self.router.states.values()
@@ -71,8 +71,8 @@
             and not state.server.leaving
         )
 
-    def serves(self, model: str) -> bool:
-        """Whether any engine is listed with a model."""
+    def has_model(self, model: str) -> bool:
+        """Whether any listed engine has the model."""
         return any(
             model in state.server.models
             for state in self.router.states.values()
@@ -82,16 +82,16 @@
         """Poll until cancelled."""
         while True:
             await self.poll()
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def poll(self) -> None:
-        """Ask the platform once."""
+        """Fetch and apply the list once."""
         try:
             platform = await self.platform.fetch()
         except errors.PeerError as error:
-            loguru.logger.warning('platform list: {}', error)
+            loguru.logger.warning('platform list not fetched: {}', error)
             return
-        self.heard_at = time.monotonic()
+        self.updated_at = time.monotonic()
         if platform is None:
             return
         self.entries = platform.entries
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: a small system within the test's own loop."""
+"""Shared fixtures: a small system inside the test's event loop."""
 
 import asyncio
 import pathlib
@@ -21,28 +21,28 @@
 from bulrushhold import testing
 from tests import cores
 
-KNOWN_RED = pathlib.Path(__file__).parent.parent / 'KNOWN-RED.txt'
+KNOWN_FAILURES = pathlib.Path(__file__).parent.parent / 'KNOWN-RED.txt'
 OPERATOR_KEY = 'operator-key-for-tests'
 PROMPT = [{'role': 'user', 'content': 'hello'}]
 
 
-def known_red():
-    if not KNOWN_RED.exists():
+def known_failures():
+    if not KNOWN_FAILURES.exists():
         return {}
-    lines = KNOWN_RED.read_text().splitlines()
+    lines = KNOWN_FAILURES.read_text().splitlines()
     return {line.split()[0]: line for line in lines if line.strip()}
 
 
 def pytest_collection_modifyitems(config, items):
-    red = known_red()
-    passed_over = [item for item in items if item.nodeid in red]
-    for item in passed_over:
+    failures = known_failures()
+    deselected = [item for item in items if item.nodeid in failures]
+    for item in deselected:
         items.remove(item)
-    config.hook.pytest_deselected(items=passed_over)
+    config.hook.pytest_deselected(items=deselected)
 
 
 def pytest_terminal_summary(terminalreporter):
-    for line in known_red().values():
+    for line in known_failures().values():
         terminalreporter.write_line(f'KNOWN RED: {line}')
 
 
@@ -69,7 +69,7 @@
 
 @attrs.define(slots=False)
 class System:
-    """One control replica, entries, engines, a booking service."""
+    """A system of a control replica, entries, engines, a booking service."""
 
     folder: pathlib.Path
     recovery: dict = attrs.field(factory=dict)
@@ -100,7 +100,7 @@
         await self.platform.start()
         self.key_file = self.folder / 'operator.key'
         self.key_file.write_text(OPERATOR_KEY)
-        self._found_control()
+        self._bootstrap_control()
         for name in self.addresses:
             await self.start_entry(name)
         await self.edit(FIRST_ROWS, 0)
@@ -144,7 +144,7 @@
         for entry in self.entries.values():
             await entry.view.poll()
 
-    def _found_control(self):
+    def _bootstrap_control(self):
         config = settings.Control(
             'c1',
             'north',
@@ -209,7 +209,7 @@
         await self.entries[name].start()
 
     async def kill_entry(self, name):
-        """Cut an entry off from everyone at once, as its death would."""
+        """Close all of an entry's connections at once, as a crash would."""
         entry = self.entries.pop(name)
         await entry.transport.close()
         for generation in entry.streams.generations.values():
@@ -223,12 +223,12 @@
         await entry.close()
 
     async def edit(self, rows, base, edit_id=None):
-        """Push an edit, and wait until every entry has it in force."""
+        """Push an edit and wait until every entry has applied it."""
         edit = messages.TableEdit(
             edit_id or f'edit-{base}', base, 'test', 0.0, rows
         )
-        some = next(iter(self.entries.values()))
-        outcome = await some.control.propose(edit, 5)
+        any_entry = next(iter(self.entries.values()))
+        outcome = await any_entry.control.propose(edit, 5)
         for entry in self.entries.values():
             await until(lambda e=entry: e.table.revision >= outcome.revision)
         return outcome
@@ -240,14 +240,16 @@
         return caller
 
     async def post(self, path, body, entry='e1', **headers):
-        """Make one plain HTTP request; return status, headers, JSON."""
+        """Send an HTTP request; return status, headers and JSON body."""
         http, _ = self.addresses[entry]
-        sent = {
+        all_headers = {
             name.replace('_', '-'): value for name, value in headers.items()
         }
         async with aiohttp.ClientSession() as session:
             url = f'http://{http}{path}'
-            async with session.post(url, data=body, headers=sent) as response:
+            async with session.post(
+                url, data=body, headers=all_headers
+            ) as response:
                 return (
                     response.status,
                     response.headers,
@@ -260,20 +262,22 @@
         for entry in self.entries.values():
             await entry.close()
         await self.stop_control()
-        for stand_in in [
+        for fake in [
             *self.engines.values(),
             self.booking,
             self.platform,
         ]:
-            stand_in.thaw() if hasattr(stand_in, 'thaw') else None
-            await stand_in.stop()
+            fake.thaw() if hasattr(fake, 'thaw') else None
+            await fake.stop()
 
 
 async def until(condition, seconds=20.0):
-    """Let the loop run until a condition holds; fail if it never does."""
-    end = time.monotonic() + seconds
+    """Wait until a condition holds; fail after ``seconds``."""
+    deadline = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < end, 'the condition never came to hold'
+        assert time.monotonic() < deadline, (
+            'timed out waiting for the condition'
+        )
         await asyncio.sleep(0.005)
 
 
@@ -303,7 +307,7 @@
 
 
 def assert_whole(tokens, count):
-    """All tokens are there, in order, of one generation."""
+    """Assert that all tokens are present, in order, of one generation."""
     generation = tokens[0].partition(':')[0]
     assert tokens == [f'{generation}:{n} ' for n in range(count)]
 
