--- a/src/bulrushhold/decisions/_known.py
+++ b/src/bulrushhold/decisions/_known.py
@@ -107,11 +107,13 @@
     ) -> bool:
         capacity = self.capacity.get(backend.service, 0)
         held = (
-            backend.memory + self.seen_by_others(backend, now).memory + tokens
+            backend.memory
+            + self.current_remote_load(backend, now).memory
+            + tokens
         )
         return not capacity or held <= capacity * share
 
-    def seen_by_others(
+    def current_remote_load(
         self, backend: _placed.Placed, now: float
     ) -> messages.EngineLoad:
         """Return what others have there, unless that is too old to tell.
@@ -294,13 +296,13 @@
         backend.failures = old + FAILURE_SMOOTHING * (sample - old)
         backend.failed_at = now
 
-    def full_penalty(
+    def memory_penalty(
         self, backend: _placed.Placed, now: float, tokens: int
     ) -> float:
         room = self.has_room(backend, now, tokens, FULL)
         return 0.0 if room else FULL_PROMPTS
 
-    def penalty(self, backend: _placed.Placed, now: float) -> float:
+    def health_penalty(self, backend: _placed.Placed, now: float) -> float:
         unproven = now - backend.lost_at < UNPROVEN_S
         prompts = UNPROVEN_PROMPTS if unproven else 0.0
         return prompts + self._data_centre_penalty(backend, now)
--- a/src/bulrushhold/decisions/_placing.py
+++ b/src/bulrushhold/decisions/_placing.py
@@ -18,49 +18,49 @@
 
 # A request that may run once is lost where it fails, so that a server that
 # fails one in ten is as bad as one three times as slow.
-ONCE_FAILURE_WEIGHT: t.Final = 20.0
-REPEATABLE_FAILURE_WEIGHT: t.Final = 6.0
+AT_MOST_ONCE_FAILURE_WEIGHT: t.Final = 20.0
+IDEMPOTENT_FAILURE_WEIGHT: t.Final = 6.0
 # What speaks against an engine is counted in prompts of the stream's size:
 # what it has to read before, and in place of each of these as much more.
 #
 # A stream that runs there stretches the reading of a new prompt a little.
-RUNNING_PROMPTS: t.Final = 0.08
+RUNNING_STREAM_COST_PROMPTS: t.Final = 0.08
 # Engines to choose among, ranked by a hash of the prompt's last part. When a
 # data centre dies, all entries place its streams within the 30 ms that news
 # takes: the best of all engines would get several prompts, the best of a
 # few differs. And a caller that comes back through another entry, since its
 # own one was lost, is sent to the engine that has its prompt in memory.
-DRAWN: t.Final = 5
+AFFINITY_CANDIDATES: t.Final = 5
 # Each rank is put behind the one before by as much as one running stream.
-RANK_PROMPTS: t.Final = 0.08
+RANK_COST_PROMPTS: t.Final = 0.08
 # A copy takes as much memory as its stream, and keeps it if the stream's
 # engine is lost; above this new prompts would find no room.
-COPIES_FULL: t.Final = 0.85
+MAX_COPY_MEMORY_SHARE: t.Final = 0.85
 # While streams wait for engines, that memory is worth more to them.
-COPIES_FULL_OVERLOADED: t.Final = 0.7
+MAX_COPY_MEMORY_SHARE_OVERLOADED: t.Final = 0.7
 # Two drawn at random level load nearly as well as the best of all does
 # (Mitzenmacher, The power of two choices, 2001).
 COPY_CHOICES: t.Final = 2
 # One that is late anyway goes where all prompts, its own included, are read
 # within this share of the aim: the next one is then in time there, too.
-IDLE_SHARE: t.Final = 0.7
+IDLE_AIM_SHARE: t.Final = 0.7
 # Engines that could show an event in time while one that is late is placed.
 HEADROOM_ENGINES: t.Final = 2
 # Of the mean time of runs, what even a short one takes.
-LEAST_RUN: t.Final = 0.5
-LATENCY_FLOOR_S: t.Final = 0.005
+MIN_RUN_SHARE: t.Final = 0.5
+MIN_LATENCY_S: t.Final = 0.005
 # Entries that place at the same moment don't see each other's choice. A mean
 # head start, drawn for each prompt and engine, keeps them from meeting at the
 # idlest one.
-SPREAD_PROMPTS: t.Final = 0.1
+JITTER_PROMPTS: t.Final = 0.1
 # While streams of a lost data centre are placed, many at once, or while no
 # news comes, most of the load of the next prompts isn't known.
-BLIND_SPREAD_PROMPTS: t.Final = 0.8
-BLIND_AFTER_LOSS_S: t.Final = 0.5
-BLIND_AFTER_S: t.Final = 0.5
+STALE_JITTER_PROMPTS: t.Final = 0.8
+STALE_AFTER_LOSS_S: t.Final = 0.5
+STALE_AFTER_S: t.Final = 0.5
 
 
-def _share_of(part: str, ident: str) -> float:
+def _exponential_jitter(part: str, ident: str) -> float:
     """Return a draw from the exponential distribution of mean 1.
 
     The same for each entry, so that a caller that comes back meets the
@@ -85,13 +85,15 @@
         :param once: the request is lost where it fails.
         :param tried: idents that it has been to.
         """
-        weight = ONCE_FAILURE_WEIGHT if once else REPEATABLE_FAILURE_WEIGHT
+        weight = (
+            AT_MOST_ONCE_FAILURE_WEIGHT if once else IDEMPOTENT_FAILURE_WEIGHT
+        )
 
         def wait(backend: _placed.Placed) -> float:
             load = backend.inflight + backend.foreign_now(now) + 1
             # Far below its places a server is as quick as when idle.
             load = max(1.0, load / max(1.0, backend.slots * 0.5))
-            latency = max(backend.latency, LATENCY_FLOOR_S)
+            latency = max(backend.latency, MIN_LATENCY_S)
             penalty = 1 + weight * backend.failures_now(now)
             noise = 1 + 0.2 * self.rng.random()
             return load * latency * penalty * noise
@@ -119,26 +121,29 @@
         :param avoid_data_centre: data centre that just lost this stream.
         """
         cached = self.cached_at(part, now)
-        ranks = self._ranks(service, part, tried)
+        ranks = self._affinity_ranks(service, part, tried)
         prompt = max(1, tokens)
 
         def wait(backend: _placed.Placed) -> float:
-            rank = ranks.get(backend.ident, DRAWN)
+            rank = ranks.get(backend.ident, AFFINITY_CANDIDATES)
             own = 0 if backend.ident == cached else tokens
-            others = self.seen_by_others(backend, now)
+            others = self.current_remote_load(backend, now)
             prompts = (backend.reading + others.reading + own) / prompt
             running = backend.inflight + others.running
-            prompts += running * RUNNING_PROMPTS + rank * RANK_PROMPTS
-            prompts *= 1 + REPEATABLE_FAILURE_WEIGHT * backend.failures_now(
+            prompts += (
+                running * RUNNING_STREAM_COST_PROMPTS
+                + rank * RANK_COST_PROMPTS
+            )
+            prompts *= 1 + IDEMPOTENT_FAILURE_WEIGHT * backend.failures_now(
                 now
             )
             if backend.data_centre == avoid_data_centre:
                 prompts += _known.DATA_CENTRE_PROMPTS
-            prompts += self.penalty(backend, now)
-            return prompts + self.full_penalty(backend, now, tokens)
+            prompts += self.health_penalty(backend, now)
+            return prompts + self.memory_penalty(backend, now, tokens)
 
-        drawn = {*ranks, cached}
-        best = self._best(service, now, tried, wait, drawn=drawn)
+        preferred = {*ranks, cached}
+        best = self._best(service, now, tried, wait, preferred=preferred)
         if best is None:
             return None
         idle = not best.reading + best.others.reading
@@ -146,13 +151,15 @@
             return best
         # All of the few are reading or full: an idle engine elsewhere is
         # worth more than what the few are for.
-        blind = self._is_blind(service, now)
-        spread = BLIND_SPREAD_PROMPTS if blind else SPREAD_PROMPTS
+        stale = self._is_load_stale(service, now)
+        jitter_prompts = STALE_JITTER_PROMPTS if stale else JITTER_PROMPTS
 
-        def spread_wait(backend: _placed.Placed) -> float:
-            return wait(backend) + spread * _share_of(part, backend.ident)
+        def jittered_wait(backend: _placed.Placed) -> float:
+            return wait(backend) + jitter_prompts * _exponential_jitter(
+                part, backend.ident
+            )
 
-        return self._best(service, now, tried, spread_wait)
+        return self._best(service, now, tried, jittered_wait)
 
     def likely_keepers(
         self, service: str, part: str, now: float
@@ -165,17 +172,17 @@
             return []
         return [
             backend
-            for ident in self._ranks(service, part, set())
+            for ident in self._affinity_ranks(service, part, set())
             if (backend := self.backends[ident]).suspect_until <= now
         ]
 
-    def _is_blind(self, service: str, now: float) -> bool:
+    def _is_load_stale(self, service: str, now: float) -> bool:
         """Whether other entries place streams now that aren't known here."""
-        old = now - self.last_report_at > BLIND_AFTER_S
+        old = now - self.last_report_at > STALE_AFTER_S
         if old or self.silent_data_centres:
             return True
         return any(
-            now - backend.lost_at < BLIND_AFTER_LOSS_S
+            now - backend.lost_at < STALE_AFTER_LOSS_S
             for backend in self.services.get(service, ())
         )
 
@@ -204,16 +211,20 @@
                 load
                 + (backend.memory + others.memory) / max(1, tokens)
                 + 100 * same
-                + 10 * self.penalty(backend, now)
-                + 10 * self.full_penalty(backend, now, tokens)
+                + 10 * self.health_penalty(backend, now)
+                + 10 * self.memory_penalty(backend, now, tokens)
                 + self.rng.random()
             )
 
-        most = COPIES_FULL_OVERLOADED if overloaded else COPIES_FULL
+        max_share = (
+            MAX_COPY_MEMORY_SHARE_OVERLOADED
+            if overloaded
+            else MAX_COPY_MEMORY_SHARE
+        )
         full = {
             backend.ident
             for backend in self.usable(engine.service)
-            if not self.has_room(backend, now, tokens, most)
+            if not self.has_room(backend, now, tokens, max_share)
         }
         tried = tried | full | {engine.ident}
         best = self._best(engine.service, now, tried, cost, strict=True)
@@ -221,17 +232,17 @@
             return best
         # Of a few drawn ones: entries that choose at the same moment would
         # all fill the emptiest engine, and some copies find no room there.
-        penalty = self.penalty(best, now)
+        penalty = self.health_penalty(best, now)
         others = [
             backend.ident
             for backend in self.usable(engine.service)
             if backend.ident not in tried
             and backend.data_centre != engine.data_centre
-            and self.penalty(backend, now) <= penalty
+            and self.health_penalty(backend, now) <= penalty
         ]
-        drawn = self.rng.sample(others, min(COPY_CHOICES, len(others)))
+        preferred = self.rng.sample(others, min(COPY_CHOICES, len(others)))
         return self._best(
-            engine.service, now, tried, cost, strict=True, drawn=drawn
+            engine.service, now, tried, cost, strict=True, preferred=preferred
         )
 
     def estimate_capacity(
@@ -250,39 +261,40 @@
         """
         tokens = wanted.tokens
         token_s = self.speeds.token_s(service, wanted, now, but=but)
-        calm = [
+        healthy = [
             b
             for b in self.usable(service)
             if b.suspect_until <= now
             and b.ident != but
-            and not self.penalty(b, now)
+            and not self.health_penalty(b, now)
         ]
         first_s = float('inf')
         idle = False
-        roomy = in_time = 0
-        for backend in calm:
+        with_room = in_time = 0
+        for backend in healthy:
             if not self.has_room(backend, now, memory, 1.0):
                 continue
-            others = self.seen_by_others(backend, now).reading
+            others = self.current_remote_load(backend, now).reading
             reading = backend.reading + others + tokens
             first_s = min(first_s, reading * token_s)
-            roomy += 1
+            with_room += 1
             in_time += reading * token_s <= wanted.aim_s
-            little = reading * token_s <= IDLE_SHARE * wanted.aim_s
-            idle = idle or little or reading == tokens
-        per_s = self._finished_per_s(service, now, tokens * token_s, memory)
+            nearly_idle = reading * token_s <= IDLE_AIM_SHARE * wanted.aim_s
+            idle = idle or nearly_idle or reading == tokens
+        per_s = self._completions_per_s(service, now, tokens * token_s, memory)
         run_s = self.speeds.run_s(service, now) or 0.0
         return _admissioncontrol.CapacityEstimate(
             first_s,
             idle,
-            len(calm),
-            len(calm) * per_s,
-            max(0.0, LEAST_RUN * run_s - tokens * token_s),
-            in_time >= min(HEADROOM_ENGINES, roomy) or 2 * roomy < len(calm),
+            len(healthy),
+            len(healthy) * per_s,
+            max(0.0, MIN_RUN_SHARE * run_s - tokens * token_s),
+            in_time >= min(HEADROOM_ENGINES, with_room)
+            or 2 * with_room < len(healthy),
             in_time,
         )
 
-    def _finished_per_s(
+    def _completions_per_s(
         self, service: str, now: float, prompt_s: float, memory: int
     ) -> float:
         """Return how many such streams an engine ends in a second.
@@ -305,20 +317,20 @@
         cost: t.Callable[[_placed.Placed], float],
         *,
         strict: bool = False,
-        drawn: t.Container[str] = (),
+        preferred: t.Container[str] = (),
     ) -> _placed.Placed | None:
         usable = self.usable(service)
-        fresh = [b for b in usable if b.ident not in tried]
-        calm = [b for b in fresh if b.suspect_until <= now]
-        if calm:
-            few = [b for b in calm if b.ident in drawn]
-            return min(few or calm, key=cost)
-        if strict or not fresh:
+        untried = [b for b in usable if b.ident not in tried]
+        healthy = [b for b in untried if b.suspect_until <= now]
+        if healthy:
+            shortlist = [b for b in healthy if b.ident in preferred]
+            return min(shortlist or healthy, key=cost)
+        if strict or not untried:
             return None
         # All are suspect: the one that was left longest ago may be back.
-        return min(fresh, key=lambda b: b.suspect_until)
+        return min(untried, key=lambda b: b.suspect_until)
 
-    def _ranks(
+    def _affinity_ranks(
         self, service: str, part: str, tried: set[str]
     ) -> dict[str, int]:
         """Return the first engines for a part (rendezvous hashing)."""
@@ -326,7 +338,7 @@
             part = str(self.rng.random())
         idents = [b.ident for b in self.usable(service)]
         first = heapq.nlargest(
-            DRAWN,
+            AFFINITY_CANDIDATES,
             (ident for ident in idents if ident not in tried),
             key=lambda ident: xxhash.xxh64_intdigest(
                 f'{part}/{ident}'.encode()
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -312,7 +312,7 @@
     """Guards against prompts that wait for memory beside empty engines."""
     made = placement(30)
     made.capacity = {'engines': 88_000}
-    ranks = made._ranks('engines', 'p', set())
+    ranks = made._affinity_ranks('engines', 'p', set())
     full = {i: messages.EngineLoad(0, 5, 85_000) for i in ranks}
     made.apply_loads(messages.LoadSummary(1, full, []), 0.0)
     chosen = made.choose_engine(
