--- a/src/bulrushhold/decisions/_admissioncontrol.py
+++ b/src/bulrushhold/decisions/_admissioncontrol.py
@@ -31,7 +31,7 @@
 LEAST_RETRY_S: t.Final = 1.0
 MOST_RETRY_S: t.Final = 8.0
 # How many wait elsewhere is told with each change; older news is no news.
-REPORTS_KEPT_S: t.Final = 2.0
+LOAD_REPORT_TTL_S: t.Final = 2.0
 
 
 # How often a stream that waits looks for an engine.
@@ -181,7 +181,7 @@
         self, service: str, entries: int, now: float
     ) -> int:
         own = self.waiting[service]
-        if now - self.last_report_at < REPORTS_KEPT_S:
+        if now - self.last_report_at < LOAD_REPORT_TTL_S:
             return own + self.others.get(service, 0)
         return own * max(1, entries)
 
--- a/src/bulrushhold/decisions/_known.py
+++ b/src/bulrushhold/decisions/_known.py
@@ -13,78 +13,78 @@
 
 # Weight of the newest sample in the means of latency and failures: ten
 # requests, so that a server that turns slow is known within a second.
-SMOOTHING: t.Final = 0.1
+LATENCY_SMOOTHING: t.Final = 0.1
 FAILURE_SMOOTHING: t.Final = 0.2
 # What speaks against an engine is counted in prompts; see _placing.
 #
 # Engines of one data centre that fail within this time make the whole data
 # centre suspect, for as long: it lost power, or is cut off.
-DATA_CENTRE_WINDOW_S: t.Final = 1.3
-DATA_CENTRE_FAILURES: t.Final = 2
-DATA_CENTRE_PROMPTS: t.Final = 3.0
+DATA_CENTRE_FAILURE_WINDOW_S: t.Final = 1.3
+MIN_DATA_CENTRE_FAILURES: t.Final = 2
+DATA_CENTRE_PENALTY_PROMPTS: t.Final = 3.0
 # An engine that was lost looks idle, and would get the next prompts of all
 # entries as soon as it is tried again. Mostly it is down, or back under a new
 # identity before the list says so; until then it is the last choice.
-UNPROVEN_S: t.Final = 6.0
-UNPROVEN_PROMPTS: t.Final = 2.5
+PROBATION_S: t.Final = 6.0
+PROBATION_PENALTY_PROMPTS: t.Final = 2.5
 # A prompt that finds no memory waits until another stream has ended; the rest
 # is for what grows and for what others place before their news arrives.
-FULL: t.Final = 0.85
-FULL_PROMPTS: t.Final = 4.0
-SUSPECT_S: t.Final = 1.0
+MAX_MEMORY_SHARE: t.Final = 0.85
+FULL_PENALTY_PROMPTS: t.Final = 4.0
+EJECTION_S: t.Final = 1.0
 # What other entries have running is told within 0.1 s, as long as control is
 # there; after this time it says nothing any more.
-REPORTS_KEPT_S: t.Final = 2.0
-PARTS_KEPT: t.Final = 4000
+LOAD_REPORT_TTL_S: t.Final = 2.0
+MAX_CACHED_PROMPTS: t.Final = 4000
 # A part read longer ago than this has probably been evicted.
-PART_KEPT_S: t.Final = 20.0
+CACHED_PROMPT_TTL_S: t.Final = 20.0
 
 
-def _ignore() -> None:
+def _do_nothing() -> None:
     """Tell nobody of news."""
 
 
-class KnownBackends:
+class BackendPool:
     """All backend servers, as far as they are known here."""
 
     def __init__(self) -> None:
-        self.on_news: t.Callable[[], None] = _ignore
+        self.on_news: t.Callable[[], None] = _do_nothing
         self.pending_losses: list[str] = []
         self.pending_replaced: list[str] = []
         self.last_report_at = 0.0
         self.load_age_s = 0.0
-        self.others: dict[str, messages.EngineLoad] = {}
+        self.remote_loads: dict[str, messages.EngineLoad] = {}
         self.silent_data_centres: list[str] = []
         self.capacity: dict[str, int] = {}
         self.speeds = _speeds.EngineSpeeds()
         self.backends: dict[str, _placed.Placed] = {}
         self.services: dict[str, list[_placed.Placed]] = {}
-        self.gone: set[str] = set()
+        self.replaced_idents: set[str] = set()
         self.data_centre_failures: dict[
             tuple[str, str], collections.deque[tuple[float, str]]
         ] = {}
-        self.parts: collections.OrderedDict[str, tuple[str, float]] = (
-            collections.OrderedDict()
-        )
+        self.cached_prompts: collections.OrderedDict[
+            str, tuple[str, float]
+        ] = collections.OrderedDict()
 
     def update(self, listed: list[messages.ListedBackend]) -> None:
         """Take the newest list; what is known of those that stay is kept."""
         backends = {}
         for item in listed:
-            known = self.backends.get(item.ident)
-            if known is None or known.address != item.address:
-                known = _placed.Placed(
+            server = self.backends.get(item.ident)
+            if server is None or server.address != item.address:
+                server = _placed.Placed(
                     item.ident,
                     item.service,
                     item.address,
                     item.data_centre,
                     item.slots,
-                    others=self.others.get(item.ident, _placed.NOTHING),
+                    others=self.remote_loads.get(item.ident, _placed.NOTHING),
                 )
-            known.leaving = item.leaving
-            backends[item.ident] = known
+            server.leaving = item.leaving
+            backends[item.ident] = server
         self.backends = backends
-        self.gone &= backends.keys()
+        self.replaced_idents &= backends.keys()
         self.services = {}
         for backend in backends.values():
             self.services.setdefault(backend.service, []).append(backend)
@@ -94,7 +94,8 @@
         return [
             backend
             for backend in self.services.get(service, ())
-            if not backend.leaving and backend.ident not in self.gone
+            if not backend.leaving
+            and backend.ident not in self.replaced_idents
         ]
 
     def can_hold(self, service: str, tokens: int) -> bool:
@@ -121,14 +122,14 @@
         While control is away for long, an engine that was full would seem
         so for good, and streams be held back from idle engines.
         """
-        heard = now - self.last_report_at < REPORTS_KEPT_S
-        return backend.others if heard else _placed.NOTHING
+        is_current = now - self.last_report_at < LOAD_REPORT_TTL_S
+        return backend.others if is_current else _placed.NOTHING
 
     def keeps_copy(self, backend: _placed.Placed, since: float) -> bool:
         """Whether a copy made there at ``since`` can still be there."""
         return (
             backend.ident in self.backends
-            and backend.ident not in self.gone
+            and backend.ident not in self.replaced_idents
             and not backend.leaving
             and backend.lost_at < since
         )
@@ -148,7 +149,7 @@
             if backend.suspect_until <= now:
                 self.pending_losses.append(ident)
                 self.on_news()
-            self._suspect(backend, now)
+            self._eject(backend, now)
 
     def lost_near(self, ident: str, at: float, within: float) -> int:
         """Return how many engines of one data centre were lost about then.
@@ -165,14 +166,14 @@
             for backend in self.services[engine.service]
         )
 
-    def _suspect(self, backend: _placed.Placed, now: float) -> None:
+    def _eject(self, backend: _placed.Placed, now: float) -> None:
         backend.lost_at = now
-        backend.suspect_until = now + SUSPECT_S
-        place = (backend.service, backend.data_centre)
+        backend.suspect_until = now + EJECTION_S
+        location = (backend.service, backend.data_centre)
         recent = self.data_centre_failures.setdefault(
-            place, collections.deque(maxlen=8)
+            location, collections.deque(maxlen=8)
         )
-        if all(known != backend.ident for _, known in recent):
+        if all(server != backend.ident for _, server in recent):
             recent.append((now, backend.ident))
 
     def succeeded(self, ident: str, now: float, latency: float | None) -> None:
@@ -184,7 +185,7 @@
         backend.suspect_until = 0.0
         if latency is not None:
             old = backend.latency or latency
-            backend.latency = old + SMOOTHING * (latency - old)
+            backend.latency = old + LATENCY_SMOOTHING * (latency - old)
 
     def reported(
         self, ident: str, running: int, waiting: int, now: float
@@ -222,7 +223,7 @@
         """Return what other entries should know; losses only once."""
         lost, self.pending_losses = self.pending_losses, []
         replaced, self.pending_replaced = self.pending_replaced, []
-        seen = {
+        loads = {
             backend.ident: messages.EngineLoad(
                 backend.reading, backend.inflight, backend.memory
             )
@@ -231,19 +232,19 @@
         }
         speeds = self.speeds.published(now)
         return messages.LoadReport(
-            entry, seen, lost, replaced, traffic, speeds=speeds
+            entry, loads, lost, replaced, traffic, speeds=speeds
         )
 
     def _apply_engines(self, summary: messages.LoadSummary) -> None:
         if not summary.since:
-            self.others = dict(summary.engines)
+            self.remote_loads = dict(summary.engines)
             for ident, backend in self.backends.items():
-                backend.others = self.others.get(ident, _placed.NOTHING)
+                backend.others = self.remote_loads.get(ident, _placed.NOTHING)
             return
-        self.others.update(summary.engines)
+        self.remote_loads.update(summary.engines)
         for ident, load in summary.engines.items():
             if load == _placed.NOTHING:
-                del self.others[ident]
+                del self.remote_loads[ident]
             if ident in self.backends:
                 self.backends[ident].others = load
 
@@ -266,28 +267,28 @@
         for ident in summary.lost:
             backend = self.backends.get(ident)
             if backend is not None and backend.suspect_until <= now:
-                self._suspect(backend, now)
+                self._eject(backend, now)
         for ident in summary.replaced:
-            self.gone.add(ident)
+            self.replaced_idents.add(ident)
 
     def replaced(self, ident: str) -> None:
         """Learn that another server has this one's address."""
-        if ident not in self.gone:
-            self.gone.add(ident)
+        if ident not in self.replaced_idents:
+            self.replaced_idents.add(ident)
             self.pending_replaced.append(ident)
             self.on_news()
 
     def read(self, part: str, ident: str, now: float) -> None:
         """Learn that an engine has read a part of a prompt."""
         if part:
-            self.parts[part] = (ident, now)
-            self.parts.move_to_end(part)
-            while len(self.parts) > PARTS_KEPT:
-                self.parts.popitem(last=False)
+            self.cached_prompts[part] = (ident, now)
+            self.cached_prompts.move_to_end(part)
+            while len(self.cached_prompts) > MAX_CACHED_PROMPTS:
+                self.cached_prompts.popitem(last=False)
 
-    def cached_at(self, part: str, now: float) -> str:
-        ident, at = self.parts.get(part, ('', 0.0))
-        return ident if now - at < PART_KEPT_S else ''
+    def engine_with_prompt(self, part: str, now: float) -> str:
+        ident, at = self.cached_prompts.get(part, ('', 0.0))
+        return ident if now - at < CACHED_PROMPT_TTL_S else ''
 
     def _sample_failure(
         self, backend: _placed.Placed, sample: float, now: float
@@ -299,12 +300,12 @@
     def memory_penalty(
         self, backend: _placed.Placed, now: float, tokens: int
     ) -> float:
-        room = self.has_room(backend, now, tokens, FULL)
-        return 0.0 if room else FULL_PROMPTS
+        room = self.has_room(backend, now, tokens, MAX_MEMORY_SHARE)
+        return 0.0 if room else FULL_PENALTY_PROMPTS
 
     def health_penalty(self, backend: _placed.Placed, now: float) -> float:
-        unproven = now - backend.lost_at < UNPROVEN_S
-        prompts = UNPROVEN_PROMPTS if unproven else 0.0
+        on_probation = now - backend.lost_at < PROBATION_S
+        prompts = PROBATION_PENALTY_PROMPTS if on_probation else 0.0
         return prompts + self._data_centre_penalty(backend, now)
 
     def _data_centre_penalty(
@@ -315,8 +316,10 @@
         )
         if not recent:
             return 0.0
-        while recent and now - recent[0][0] > DATA_CENTRE_WINDOW_S:
+        while recent and now - recent[0][0] > DATA_CENTRE_FAILURE_WINDOW_S:
             recent.popleft()
         return (
-            DATA_CENTRE_PROMPTS if len(recent) >= DATA_CENTRE_FAILURES else 0.0
+            DATA_CENTRE_PENALTY_PROMPTS
+            if len(recent) >= MIN_DATA_CENTRE_FAILURES
+            else 0.0
         )
--- a/src/bulrushhold/decisions/_placing.py
+++ b/src/bulrushhold/decisions/_placing.py
@@ -70,7 +70,7 @@
     return -math.log1p(-draw)
 
 
-class Placement(_known.KnownBackends):
+class Placement(_known.BackendPool):
     """The choice among all backend servers that are known."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -120,7 +120,7 @@
             needn't read it again.
         :param avoid_data_centre: data centre that just lost this stream.
         """
-        cached = self.cached_at(part, now)
+        cached = self.engine_with_prompt(part, now)
         ranks = self._affinity_ranks(service, part, tried)
         prompt = max(1, tokens)
 
@@ -138,7 +138,7 @@
                 now
             )
             if backend.data_centre == avoid_data_centre:
-                prompts += _known.DATA_CENTRE_PROMPTS
+                prompts += _known.DATA_CENTRE_PENALTY_PROMPTS
             prompts += self.health_penalty(backend, now)
             return prompts + self.memory_penalty(backend, now, tokens)
 
@@ -147,7 +147,7 @@
         if best is None:
             return None
         idle = not best.reading + best.others.reading
-        if idle and self.has_room(best, now, tokens, _known.FULL):
+        if idle and self.has_room(best, now, tokens, _known.MAX_MEMORY_SHARE):
             return best
         # All of the few are reading or full: an idle engine elsewhere is
         # worth more than what the few are for.
@@ -168,7 +168,7 @@
 
         None where it is known which one has, or where it has no name.
         """
-        if not part or self.cached_at(part, now):
+        if not part or self.engine_with_prompt(part, now):
             return []
         return [
             backend
@@ -307,7 +307,10 @@
         capacity = self.capacity.get(service, 0)
         if not run_s or not capacity or not memory:
             return reads
-        return min(reads, max(1.0, _known.FULL * capacity / memory) / run_s)
+        return min(
+            reads,
+            max(1.0, _known.MAX_MEMORY_SHARE * capacity / memory) / run_s,
+        )
 
     def _best(
         self,
--- a/src/bulrushhold/decisions/_repeats.py
+++ b/src/bulrushhold/decisions/_repeats.py
@@ -28,7 +28,7 @@
 # have to ask for it all again. One that has shown nothing is refused as not
 # run instead, and comes back as a request of its own.
 TOGETHER_BEGUN: t.Final = 0.9
-REPORTS_KEPT_S: t.Final = 2.0
+LOAD_REPORT_TTL_S: t.Final = 2.0
 
 
 class RepeatBudget:
@@ -72,7 +72,7 @@
 
     def _far_from_bound(self, service: str, now: float, most: float) -> bool:
         others = self.others.get(service)
-        if others is None or now - self.last_report_at > REPORTS_KEPT_S:
+        if others is None or now - self.last_report_at > LOAD_REPORT_TTL_S:
             return False
         firsts = others.firsts + len(self.firsts.get(service, ()))
         repeats = others.repeats + len(self.repeats.get(service, ()))
