--- a/src/bulrushhold/decisions/_known.py
+++ b/src/bulrushhold/decisions/_known.py
@@ -79,7 +79,7 @@
                     item.address,
                     item.data_centre,
                     item.slots,
-                    others=self.remote_loads.get(item.ident, _placed.NOTHING),
+                    others=self.remote_loads.get(item.ident, _placed.NO_LOAD),
                 )
             server.leaving = item.leaving
             backends[item.ident] = server
@@ -123,7 +123,7 @@
         so for good, and streams be held back from idle engines.
         """
         is_current = now - self.last_report_at < LOAD_REPORT_TTL_S
-        return backend.others if is_current else _placed.NOTHING
+        return backend.others if is_current else _placed.NO_LOAD
 
     def keeps_copy(self, backend: _placed.Placed, since: float) -> bool:
         """Whether a copy made there at ``since`` can still be there."""
@@ -193,9 +193,9 @@
         """Learn what a server told of its load."""
         backend = self.backends.get(ident)
         if backend is not None:
-            foreign = running + waiting - backend.inflight
-            backend.foreign = max(0.0, foreign)
-            backend.foreign_at = now
+            remote_requests = running + waiting - backend.inflight
+            backend.remote_requests = max(0.0, remote_requests)
+            backend.remote_requests_at = now
 
     def began(self, backend: _placed.Placed, tokens: int) -> None:
         """Learn that a stream went to an engine, with a prompt to read."""
@@ -239,11 +239,11 @@
         if not summary.since:
             self.remote_loads = dict(summary.engines)
             for ident, backend in self.backends.items():
-                backend.others = self.remote_loads.get(ident, _placed.NOTHING)
+                backend.others = self.remote_loads.get(ident, _placed.NO_LOAD)
             return
         self.remote_loads.update(summary.engines)
         for ident, load in summary.engines.items():
-            if load == _placed.NOTHING:
+            if load == _placed.NO_LOAD:
                 del self.remote_loads[ident]
             if ident in self.backends:
                 self.backends[ident].others = load
--- a/src/bulrushhold/decisions/_placed.py
+++ b/src/bulrushhold/decisions/_placed.py
@@ -8,10 +8,10 @@
 
 # What a server told of other entries' requests counts half after this time;
 # a plain request lasts about 0.1 s, so that more would be a mere memory.
-REPORT_HALF_S: t.Final = 0.5
+REMOTE_REQUESTS_HALF_LIFE_S: t.Final = 0.5
 # Failures are forgotten with time, or a server left alone would stay so.
-FAILURE_HALF_S: t.Final = 3.0
-NOTHING: t.Final = messages.EngineLoad(0, 0)
+FAILURE_HALF_LIFE_S: t.Final = 3.0
+NO_LOAD: t.Final = messages.EngineLoad(0, 0)
 
 
 @attrs.define
@@ -37,21 +37,23 @@
     inflight: int = 0
     reading: int = 0
     memory: int = 0
-    foreign: float = 0.0
-    foreign_at: float = 0.0
+    remote_requests: float = 0.0
+    remote_requests_at: float = 0.0
     latency: float = 0.0
     failures: float = 0.0
     failed_at: float = 0.0
     suspect_until: float = 0.0
-    others: messages.EngineLoad = NOTHING
+    others: messages.EngineLoad = NO_LOAD
     lost_at: float = float('-inf')
 
-    def foreign_now(self, now: float) -> float:
+    def remote_requests_now(self, now: float) -> float:
         """Return the requests of others, as far as they are still there."""
-        age = now - self.foreign_at
-        return self.foreign * 0.5 ** (age / REPORT_HALF_S)
+        age = now - self.remote_requests_at
+        return self.remote_requests * 0.5 ** (
+            age / REMOTE_REQUESTS_HALF_LIFE_S
+        )
 
     def failures_now(self, now: float) -> float:
         """Return the share of requests that lately failed there."""
         age = now - self.failed_at
-        return self.failures * 0.5 ** (age / FAILURE_HALF_S)
+        return self.failures * 0.5 ** (age / FAILURE_HALF_LIFE_S)
--- a/src/bulrushhold/decisions/_placing.py
+++ b/src/bulrushhold/decisions/_placing.py
@@ -90,7 +90,7 @@
         )
 
         def wait(backend: _placed.Placed) -> float:
-            load = backend.inflight + backend.foreign_now(now) + 1
+            load = backend.inflight + backend.remote_requests_now(now) + 1
             # Far below its places a server is as quick as when idle.
             load = max(1.0, load / max(1.0, backend.slots * 0.5))
             latency = max(backend.latency, MIN_LATENCY_S)
