--- a/src/bulrushhold/decisions/_known.py
+++ b/src/bulrushhold/decisions/_known.py
@@ -230,7 +230,7 @@
             for backend in self.backends.values()
             if backend.inflight or backend.memory
         }
-        speeds = self.speeds.published(now)
+        speeds = self.speeds.snapshot(now)
         return messages.LoadReport(
             entry, loads, lost, replaced, traffic, speeds=speeds
         )
--- a/src/bulrushhold/decisions/_loadtotals.py
+++ b/src/bulrushhold/decisions/_loadtotals.py
@@ -127,5 +127,5 @@
 ) -> None:
     """Add speeds by service to totals, or take them off."""
     for service, speed in more.items():
-        known = totals.get(service, _speeds.NOTHING)
+        known = totals.get(service, _speeds.NO_SAMPLES)
         totals[service] = _speeds.add(known, speed, sign)
--- a/src/bulrushhold/decisions/_speeds.py
+++ b/src/bulrushhold/decisions/_speeds.py
@@ -15,20 +15,20 @@
 
 # What was seen this long ago counts half: some prompts of every engine, and
 # an engine that turns slow is known within as many seconds.
-HALF_S: t.Final = 5.0
+HALF_LIFE_S: t.Final = 5.0
 # Routes are made for engines that meet the aim with two prompts ahead, and
 # whose events come several times within the longest pause wanted.
 PROMPTS_PER_AIM: t.Final = 3.0
 PAUSES_PER_GAP: t.Final = 5.0
 # What routes tell counts as much as so many prompts, and so many events.
-PRIOR_PROMPTS: t.Final = 0.2
-PRIOR_PAUSES: t.Final = 20.0
+PRIOR_WEIGHT_PROMPTS: t.Final = 0.2
+PRIOR_WEIGHT_PAUSES: t.Final = 20.0
 # Less than this is what is left of a run that was seen long ago.
-LEAST_RUNS: t.Final = 0.05
+MIN_RUNS: t.Final = 0.05
 # One sample counts for no more than this many times what is usual: a frozen
 # entry, or an engine that died unseen, isn't a slow service.
-MOST_TIMES: t.Final = 4.0
-NOTHING: t.Final = messages.EngineSpeed()
+MAX_SAMPLE_RATIO: t.Final = 4.0
+NO_SAMPLES: t.Final = messages.EngineSpeed()
 
 
 @attrs.frozen
@@ -52,23 +52,23 @@
     :param usual_s: longest pause that is nothing unusual so far.
     """
 
-    usual_s: float
+    long_pause_s: float
     count: int = 0
     seconds: float = 0.0
     squares: float = 0.0
 
     def add(self, seconds: float) -> None:
         """Take in one pause."""
-        seconds = min(seconds, MOST_TIMES * self.usual_s)
+        seconds = min(seconds, MAX_SAMPLE_RATIO * self.long_pause_s)
         self.count += 1
         self.seconds += seconds
         self.squares += seconds * seconds
 
 
 @attrs.define
-class _Own:
+class _LocalSamples:
     speed: messages.EngineSpeed
-    at: float
+    updated_at: float
 
 
 @attrs.define(eq=False)
@@ -81,16 +81,16 @@
     service: str
     engine: str
     tokens: int
-    begun: float
+    started_at: float
 
 
 class EngineSpeeds:
     """What this entry and others saw of each service's engines."""
 
     def __init__(self) -> None:
-        self.own: dict[str, _Own] = {}
-        self.others: dict[str, messages.EngineSpeed] = {}
-        self.readings: set[Reading] = set()
+        self.local: dict[str, _LocalSamples] = {}
+        self.remote: dict[str, messages.EngineSpeed] = {}
+        self.pending_reads: set[Reading] = set()
 
     # What is learnt
 
@@ -99,15 +99,15 @@
     ) -> Reading:
         """Learn that a prompt was sent, with so many tokens to read first."""
         reading = Reading(service, engine, max(1, tokens), now)
-        self.readings.add(reading)
+        self.pending_reads.add(reading)
         return reading
 
     def read(self, reading: Reading, wanted: Wanted, now: float) -> None:
         """Learn that the first event came."""
         self.forget(reading)
         token_s = self.token_s(reading.service, wanted, now)
-        most = MOST_TIMES * token_s * reading.tokens
-        took = min(now - reading.begun, most)
+        max_s = MAX_SAMPLE_RATIO * token_s * reading.tokens
+        took = min(now - reading.started_at, max_s)
         self._add(
             reading.service,
             messages.EngineSpeed(tokens=reading.tokens, read_s=took),
@@ -116,28 +116,31 @@
 
     def forget(self, reading: Reading) -> None:
         """Learn that nobody waits for a prompt any more."""
-        self.readings.discard(reading)
+        self.pending_reads.discard(reading)
 
     def paused(self, service: str, pauses: Pauses, now: float) -> None:
         """Learn how far apart events came from an engine."""
-        more = messages.EngineSpeed(
+        sample = messages.EngineSpeed(
             pauses=pauses.count,
             pause_s=pauses.seconds,
             pause_sq=pauses.squares,
         )
-        self._add(service, more, now)
+        self._add(service, sample, now)
 
     def ran(self, service: str, seconds: float, now: float) -> None:
         """Learn how long an engine took from a prompt to its last event."""
         self._add(service, messages.EngineSpeed(runs=1, run_s=seconds), now)
 
-    def apply_loads(self, others: dict[str, messages.EngineSpeed]) -> None:
+    def apply_loads(self, remote: dict[str, messages.EngineSpeed]) -> None:
         """Learn what all other entries saw."""
-        self.others = others
+        self.remote = remote
 
-    def published(self, now: float) -> dict[str, messages.EngineSpeed]:
+    def snapshot(self, now: float) -> dict[str, messages.EngineSpeed]:
         """Return what this entry saw, for others."""
-        return {service: self._own(service, now) for service in self.own}
+        return {
+            service: self._local_samples(service, now)
+            for service in self.local
+        }
 
     # What follows from it
 
@@ -152,15 +155,15 @@
         :param but: engine whose waiting prompts don't count, since it is to
             be compared with the others.
         """
-        seen = self._all(service, now)
-        tokens = seen.tokens + PRIOR_PROMPTS * max(1, wanted.tokens)
-        aimed_s = wanted.aim_s / PROMPTS_PER_AIM
-        seconds = seen.read_s + PRIOR_PROMPTS * aimed_s
+        samples = self._combined_samples(service, now)
+        tokens = samples.tokens + PRIOR_WEIGHT_PROMPTS * max(1, wanted.tokens)
+        expected_s = wanted.aim_s / PROMPTS_PER_AIM
+        seconds = samples.read_s + PRIOR_WEIGHT_PROMPTS * expected_s
         token_s = seconds / tokens
-        for reading in self.readings:
+        for reading in self.pending_reads:
             if reading.service != service or reading.engine == but:
                 continue
-            waited = now - reading.begun
+            waited = now - reading.started_at
             if waited > token_s * reading.tokens:
                 tokens += reading.tokens
                 seconds += waited
@@ -173,49 +176,57 @@
 
         :param deviations: standard deviations above the mean.
         """
-        seen = self._all(service, now)
+        samples = self._combined_samples(service, now)
         expected = wanted.gap_s / PAUSES_PER_GAP
-        count = seen.pauses + PRIOR_PAUSES
-        mean = (seen.pause_s + PRIOR_PAUSES * expected) / count
-        square = (seen.pause_sq + PRIOR_PAUSES * expected * expected) / count
+        count = samples.pauses + PRIOR_WEIGHT_PAUSES
+        mean = (samples.pause_s + PRIOR_WEIGHT_PAUSES * expected) / count
+        square = (
+            samples.pause_sq + PRIOR_WEIGHT_PAUSES * expected * expected
+        ) / count
         return mean + deviations * math.sqrt(max(0.0, square - mean * mean))
 
     def run_s(self, service: str, now: float) -> float | None:
         """Return how long a run takes at an engine; ``None``: unknown."""
-        seen = self._all(service, now)
-        return seen.run_s / seen.runs if seen.runs > LEAST_RUNS else None
+        samples = self._combined_samples(service, now)
+        return (
+            samples.run_s / samples.runs if samples.runs > MIN_RUNS else None
+        )
 
-    def _all(self, service: str, now: float) -> messages.EngineSpeed:
-        others = self.others.get(service, NOTHING)
-        return add(others, self._own(service, now))
+    def _combined_samples(
+        self, service: str, now: float
+    ) -> messages.EngineSpeed:
+        remote = self.remote.get(service, NO_SAMPLES)
+        return add(remote, self._local_samples(service, now))
 
-    def _own(self, service: str, now: float) -> messages.EngineSpeed:
-        own = self.own.get(service)
-        return NOTHING if own is None else _faded(own, now)
+    def _local_samples(self, service: str, now: float) -> messages.EngineSpeed:
+        local = self.local.get(service)
+        return NO_SAMPLES if local is None else _decayed(local, now)
 
     def _add(
-        self, service: str, more: messages.EngineSpeed, now: float
+        self, service: str, sample: messages.EngineSpeed, now: float
     ) -> None:
-        own = self.own.setdefault(service, _Own(NOTHING, now))
-        own.speed = add(_faded(own, now), more)
-        own.at = now
+        local = self.local.setdefault(service, _LocalSamples(NO_SAMPLES, now))
+        local.speed = add(_decayed(local, now), sample)
+        local.updated_at = now
 
 
-def _faded(own: _Own, now: float) -> messages.EngineSpeed:
-    share = 0.5 ** (max(0.0, now - own.at) / HALF_S)
-    return add(NOTHING, own.speed, share)
+def _decayed(local: _LocalSamples, now: float) -> messages.EngineSpeed:
+    share = 0.5 ** (max(0.0, now - local.updated_at) / HALF_LIFE_S)
+    return add(NO_SAMPLES, local.speed, share)
 
 
 def add(
-    one: messages.EngineSpeed, other: messages.EngineSpeed, times: float = 1.0
+    total: messages.EngineSpeed,
+    added: messages.EngineSpeed,
+    weight: float = 1.0,
 ) -> messages.EngineSpeed:
     """Return the sums of one, and of the other so many times."""
     return messages.EngineSpeed(
-        one.tokens + times * other.tokens,
-        one.read_s + times * other.read_s,
-        one.pauses + times * other.pauses,
-        one.pause_s + times * other.pause_s,
-        one.pause_sq + times * other.pause_sq,
-        one.runs + times * other.runs,
-        one.run_s + times * other.run_s,
+        total.tokens + weight * added.tokens,
+        total.read_s + weight * added.read_s,
+        total.pauses + weight * added.pauses,
+        total.pause_s + weight * added.pause_s,
+        total.pause_sq + weight * added.pause_sq,
+        total.runs + weight * added.runs,
+        total.run_s + weight * added.run_s,
     )
