--- a/src/bulrushhold/decisions/_patience.py
+++ b/src/bulrushhold/decisions/_patience.py
@@ -13,11 +13,11 @@
 
 import attrs
 
-TIMES: t.Final = 2.0
+MAX_WAIT_RATIO: t.Final = 2.0
 # Of the longest pause wanted; a copy is taken into use within the rest.
-LEAVE_SHARE: t.Final = 0.85
+FAILOVER_GAP_SHARE: t.Final = 0.85
 # Below this, asking costs more than it tells.
-LEAST_ASK_S: t.Final = 0.05
+MIN_PROBE_S: t.Final = 0.05
 
 
 @attrs.frozen
@@ -45,20 +45,23 @@
         """
         latest = self.gap_s - self.asking_s - self.usual_pause_s
         return max(
-            LEAST_ASK_S,
+            MIN_PROBE_S,
             min(self.usual_pause_s, max(latest, self.common_pause_s)),
         )
 
     def leave_with_copy_s(self) -> float:
         """Silence after which a copy elsewhere is taken into use."""
-        return max(TIMES * self.usual_pause_s, LEAVE_SHARE * self.gap_s)
+        return max(
+            MAX_WAIT_RATIO * self.usual_pause_s,
+            FAILOVER_GAP_SHARE * self.gap_s,
+        )
 
     def leave_without_copy_s(self, elsewhere_s: float) -> float:
         """Silence after which the prompt is read again elsewhere.
 
         :param elsewhere_s: until another engine has read it.
         """
-        return max(self.leave_with_copy_s(), TIMES * elsewhere_s)
+        return max(self.leave_with_copy_s(), MAX_WAIT_RATIO * elsewhere_s)
 
 
 def leave_unread_s(here_s: float, elsewhere_s: float) -> float:
@@ -67,4 +70,4 @@
     :param here_s: expected when the prompt was sent there.
     :param elsewhere_s: until another engine has read it.
     """
-    return TIMES * max(here_s, elsewhere_s)
+    return MAX_WAIT_RATIO * max(here_s, elsewhere_s)
