--- a/src/bulrushhold/decisions/_copies.py
+++ b/src/bulrushhold/decisions/_copies.py
@@ -22,12 +22,12 @@
     fingerprint: str
     copies: list[str]
     since: int
-    sure: bool
+    authoritative: bool
     used_at: float
 
 
 @attrs.define
-class Copy:
+class TranscriptCopy:
     """A transcript kept for another entry.
 
     :param fence: least epoch that may write.
@@ -35,7 +35,7 @@
     """
 
     fence: int
-    written: int
+    writer_epoch: int
     tokens: list[str]
     version: str
     finish: str
@@ -50,9 +50,9 @@
 
     def __init__(self, keep_s: float, now: float) -> None:
         self.keep_s = keep_s
-        self.sure_from = now + keep_s
+        self.authoritative_from = now + keep_s
         self.pointers: dict[str, Pointer] = {}
-        self.copies: dict[str, Copy] = {}
+        self.copies: dict[str, TranscriptCopy] = {}
 
     def homes_changed(self, now: float) -> None:
         """Learn that keys may have come here from other homes.
@@ -60,7 +60,7 @@
         Until every one of them has been refreshed or forgotten, not to
         know a key says nothing about it.
         """
-        self.sure_from = now + self.keep_s
+        self.authoritative_from = now + self.keep_s
 
     def take_pointer(
         self, take: messages.PointerTake, now: float
@@ -69,50 +69,59 @@
         pointer = self.pointers.get(take.key)
         if pointer is None:
             # A home that has just been started may have forgotten the key.
-            sure = now >= self.sure_from
+            authoritative = now >= self.authoritative_from
             self.pointers[take.key] = Pointer(
                 take.epoch,
                 take.fingerprint,
                 take.copies,
                 take.epoch if take.begins else take.since,
-                sure or take.begins or take.since > 0,
+                authoritative or take.begins or take.since > 0,
                 now,
             )
-            return messages.PointerState(True, take.epoch, [], 0, sure)
+            return messages.PointerState(
+                True, take.epoch, [], 0, authoritative
+            )
         pointer.used_at = now
-        former = pointer.copies
+        former_copies = pointer.copies
         since = pointer.since
         mismatch = pointer.fingerprint != take.fingerprint
         if mismatch or take.epoch < pointer.epoch:
             return messages.PointerState(
-                False, pointer.epoch, former, since, pointer.sure, mismatch
+                False,
+                pointer.epoch,
+                former_copies,
+                since,
+                pointer.authoritative,
+                mismatch,
             )
         pointer.epoch = take.epoch
-        sure = pointer.sure
+        authoritative = pointer.authoritative
         if take.since:
-            pointer.sure = True
+            pointer.authoritative = True
             pointer.since = max(pointer.since, take.since)
         if take.begins:
-            pointer.sure = True
+            pointer.authoritative = True
             pointer.since = take.epoch
             pointer.copies = take.copies
         else:
             # The former copies stay reachable until the new ones hold the
             # whole transcript: the new entry may die before that.
-            joined = dict.fromkeys(take.copies + former)
-            pointer.copies = list(joined)[:MAX_COPY_ADDRESSES]
-        return messages.PointerState(True, take.epoch, former, since, sure)
+            merged = dict.fromkeys(take.copies + former_copies)
+            pointer.copies = list(merged)[:MAX_COPY_ADDRESSES]
+        return messages.PointerState(
+            True, take.epoch, former_copies, since, authoritative
+        )
 
     def append_all(
         self, batch: messages.CopyBatch, now: float
     ) -> messages.CopyBatchAck:
         """Take a batch, and name the appends that weren't stored."""
-        exceptions = []
+        rejected = []
         for number, append in enumerate(batch.appends):
             ok, length = self.append(append, now)
             if not ok or length != append.offset + len(append.tokens):
-                exceptions.append(messages.CopyAck(number, ok, length))
-        return messages.CopyBatchAck(exceptions)
+                rejected.append(messages.CopyAck(number, ok, length))
+        return messages.CopyBatchAck(rejected)
 
     def append(
         self, append: messages.CopyAppend, now: float
@@ -123,19 +132,19 @@
         """
         copy = self.copies.get(append.key)
         if copy is None:
-            copy = Copy(append.epoch, 0, [], '', '', now)
+            copy = TranscriptCopy(append.epoch, 0, [], '', '', now)
             self.copies[append.key] = copy
         if append.epoch < copy.fence:
             return False, len(copy.tokens)
         copy.fence = append.epoch
         copy.used_at = now
-        if copy.written != append.epoch:
+        if copy.writer_epoch != append.epoch:
             # Tokens of a former entry: only a whole transcript replaces
             # them, else a gap could be filled with another text.
             if append.offset != 0:
                 return True, 0
             copy.tokens = []
-            copy.written = append.epoch
+            copy.writer_epoch = append.epoch
         if append.offset > len(copy.tokens):
             return True, len(copy.tokens)
         copy.tokens[append.offset :] = append.tokens
@@ -151,7 +160,7 @@
         """
         copy = self.copies.get(take.key)
         if copy is None:
-            copy = Copy(0, 0, [], '', '', now)
+            copy = TranscriptCopy(0, 0, [], '', '', now)
             self.copies[take.key] = copy
         copy.used_at = now
         if take.epoch < copy.fence:
@@ -160,7 +169,7 @@
         return messages.CopyState(
             True,
             copy.fence,
-            copy.written,
+            copy.writer_epoch,
             list(copy.tokens),
             copy.version,
             copy.finish,
