--- a/src/bulrushhold/decisions/_loadreports.py
+++ b/src/bulrushhold/decisions/_loadreports.py
@@ -16,13 +16,13 @@
 
 # Events reach processes that were out of touch for a moment; an engine that
 # was lost longer ago has been restarted or taken off the list.
-EVENT_KEPT_S: t.Final = 2.0
+EVENT_TTL_S: t.Final = 2.0
 # Several sums in a row are missing.
-SILENT_AFTER_S: t.Final = 0.8
+SUM_MISSING_AFTER_S: t.Final = 0.8
 # A sum that is older says nothing about the load of engines.
-SUM_KEPT_S: t.Final = 2.0
+SUM_TTL_S: t.Final = 2.0
 # After this time its entries report elsewhere.
-NODE_KEPT_S: t.Final = 10.0
+NODE_TTL_S: t.Final = 10.0
 
 
 @attrs.frozen
@@ -68,11 +68,11 @@
             # One that was lost lies between; the next ones start earlier.
             return False
         engines = {} if not load.since else dict(self.engines)
-        for ident, one in load.sum.engines.items():
-            if one == _loadtotals.NO_LOAD:
+        for ident, engine_load in load.sum.engines.items():
+            if engine_load == _loadtotals.NO_LOAD:
                 engines.pop(ident, None)
             else:
-                engines[ident] = one
+                engines[ident] = engine_load
         self.engines = engines
         self.received = load.number
         self.sum = attrs.evolve(load.sum, engines=engines)
@@ -99,8 +99,8 @@
         self.local = _loadtotals.LoadTotal()
         self.total = _loadtotals.LoadTotal()
         # Entries whose changes cancel each other out see different changes.
-        self.touched: set[str] = set()
-        self.added_up = -1
+        self.changed_engines: set[str] = set()
+        self.summed_number = -1
 
     # What arrives
 
@@ -110,7 +110,7 @@
         known = self.reports.get(report.entry)
         self.reports[report.entry] = report
         before = known.engines if known is not None else {}
-        self.touched.update(
+        self.changed_engines.update(
             ident
             for ident in before.keys() | report.engines.keys()
             if before.get(ident) != report.engines.get(ident)
@@ -139,15 +139,15 @@
 
     def expire(self, now: float) -> bool:
         """Drop old events and sums; return whether any sum was dropped."""
-        while self.events and now - self.events[0].at > EVENT_KEPT_S:
+        while self.events and now - self.events[0].at > EVENT_TTL_S:
             self.events.popleft()
         for address, node in list(self.nodes.items()):
-            if now - node.at > NODE_KEPT_S:
+            if now - node.at > NODE_TTL_S:
                 del self.nodes[address]
         old = [
             node
             for node in self.nodes.values()
-            if node.sum is not None and now - node.at > SUM_KEPT_S
+            if node.sum is not None and now - node.at > SUM_TTL_S
         ]
         for node in old:
             node.forget()
@@ -175,13 +175,13 @@
                 for crash in report.crashes
             ),
         ]
-        fresh = [
+        new_events = [
             event
             for event in events
             if (event.lost, event.replaced, event.crash) not in known
         ]
-        self.events.extend(fresh)
-        return bool(fresh)
+        self.events.extend(new_events)
+        return bool(new_events)
 
     # What is published
 
@@ -192,21 +192,21 @@
 
         :param since: number of the summary that the entry has; 0 for none.
         """
-        self._add_up()
+        self._update_sums()
         total = self.total
         engines = total.changed_since(since)
         traffic, speeds = total.traffic, total.speeds
         own = self.reports.get(entry)
         if own is not None:
-            engines = _loadtotals.less_engines(engines, own.engines)
+            engines = _loadtotals.subtract_engines(engines, own.engines)
             traffic, speeds = dict(traffic), dict(speeds)
             _loadtotals.add_traffic(traffic, own.traffic, -1)
             _loadtotals.add_speeds(speeds, own.speeds, -1)
         if not since:
             engines = {
-                i: one
-                for i, one in engines.items()
-                if one != _loadtotals.NO_LOAD
+                i: engine_load
+                for i, engine_load in engines.items()
+                if engine_load != _loadtotals.NO_LOAD
             }
         events = [event for event in self.events if event.number > since]
         return messages.LoadSummary(
@@ -224,7 +224,7 @@
 
     def node_load(self, now: float) -> messages.NodeLoad:
         """Return the sum of this process's entries, for other processes."""
-        self._add_up()
+        self._update_sums()
         acknowledged = [
             node.acknowledged
             for node in self.nodes.values()
@@ -276,11 +276,11 @@
         ]
         return round(max(ages, default=0.0), 3)
 
-    def _add_up(self) -> None:
+    def _update_sums(self) -> None:
         """Add up all reports and sums, once for all that ask."""
-        if self.added_up == self.number:
+        if self.summed_number == self.number:
             return
-        self.added_up = self.number
+        self.summed_number = self.number
         local = _loadtotals.LoadTotal()
         for report in self.reports.values():
             local.add(report, 1)
@@ -289,9 +289,9 @@
             if node.sum is not None:
                 total.add(node.sum, 1)
         self.local.replace(local, self.number)
-        self.total.replace(total, self.number, self.touched)
-        self.touched.clear()
+        self.total.replace(total, self.number, self.changed_engines)
+        self.changed_engines.clear()
 
 
 def _is_live(node: _Node, now: float) -> bool:
-    return now - node.at <= SILENT_AFTER_S
+    return now - node.at <= SUM_MISSING_AFTER_S
--- a/src/bulrushhold/decisions/_loadtotals.py
+++ b/src/bulrushhold/decisions/_loadtotals.py
@@ -7,7 +7,7 @@
 from bulrushhold import messages
 
 # Changes of engines that are gone, for entries that were out of touch.
-CHANGES_KEPT: t.Final = 2000
+MAX_CHANGES: t.Final = 2000
 NO_LOAD: t.Final = messages.EngineLoad(0, 0)
 NO_TRAFFIC: t.Final = messages.ServiceTraffic(0, 0)
 
@@ -23,7 +23,7 @@
         self.traffic: dict[str, messages.ServiceTraffic] = {}
         self.speeds: dict[str, messages.EngineSpeed] = {}
         self.changed: dict[str, int] = {}
-        self.differences: dict[int, dict[str, messages.EngineLoad]] = {}
+        self.deltas: dict[int, dict[str, messages.EngineLoad]] = {}
 
     def copy(self) -> 'LoadTotal':
         """Return a sum of its own."""
@@ -34,28 +34,31 @@
         return total
 
     def replace(
-        self, new: 'LoadTotal', number: int, touched: cabc.Iterable[str] = ()
+        self,
+        new: 'LoadTotal',
+        number: int,
+        also_changed: cabc.Iterable[str] = (),
     ) -> None:
         """Take newer figures, and note which engines they change.
 
         :param touched: engines that count as changed in any case.
         """
-        self.changed.update(dict.fromkeys(touched, number))
+        self.changed.update(dict.fromkeys(also_changed, number))
         for ident in self.engines.keys() | new.engines.keys():
             if self.engines.get(ident) != new.engines.get(ident):
                 self.changed[ident] = number
-        if len(self.changed) > CHANGES_KEPT:
-            self._forget_gone(new, number)
-        self.differences.clear()
+        if len(self.changed) > MAX_CHANGES:
+            self._prune_changes(new, number)
+        self.deltas.clear()
         self.engines = new.engines
         self.traffic = new.traffic
         self.speeds = new.speeds
 
-    def _forget_gone(self, new: 'LoadTotal', number: int) -> None:
+    def _prune_changes(self, new: 'LoadTotal', number: int) -> None:
         self.changed = {
             ident: at
             for ident, at in self.changed.items()
-            if ident in new.engines or number - at < CHANGES_KEPT
+            if ident in new.engines or number - at < MAX_CHANGES
         }
 
     def changed_since(self, number: int) -> dict[str, messages.EngineLoad]:
@@ -63,13 +66,13 @@
 
         Kept until the next change, since most entries have the same one.
         """
-        if number not in self.differences:
-            self.differences[number] = {
+        if number not in self.deltas:
+            self.deltas[number] = {
                 ident: self.engines.get(ident, NO_LOAD)
                 for ident, at in self.changed.items()
                 if at > number
             }
-        return self.differences[number]
+        return self.deltas[number]
 
     def add(self, report: messages.LoadReport, sign: int) -> None:
         """Add a report, or take it off."""
@@ -78,16 +81,16 @@
         add_speeds(self.speeds, report.speeds, sign)
 
 
-def less_engines(
+def subtract_engines(
     engines: dict[str, messages.EngineLoad],
     own: dict[str, messages.EngineLoad],
 ) -> dict[str, messages.EngineLoad]:
     """Return loads less those of one entry, for the engines that are there."""
-    mine = {ident: one for ident, one in own.items() if ident in engines}
-    if not mine:
+    own_loads = {ident: one for ident, one in own.items() if ident in engines}
+    if not own_loads:
         return engines
     others = dict(engines)
-    _add_engines(others, mine, -1)
+    _add_engines(others, own_loads, -1)
     return others
 
 
