--- a/src/bulrushhold/decisions/_admissioncontrol.py
+++ b/src/bulrushhold/decisions/_admissioncontrol.py
@@ -19,17 +19,17 @@
 # Of the time that a caller waits without an event, as a multiple of the aim
 # for the first one: callers leave after four, and what is left is for reading
 # the prompt at an idle engine.
-MOST_WAIT: t.Final = 3.4
+MAX_WAIT_AIMS: t.Final = 3.4
 # Half of the prompts take longer than their mean: as many times as long is
 # allowed for.
-SURE: t.Final = 1.3
+FIRST_EVENT_MARGIN: t.Final = 1.3
 # For how long after a stream had to wait the crowd counts as still there: a
 # stream that went to an engine then has its prompt read by that time.
-CROWD_S: t.Final = 5.0
+OVERLOAD_S: t.Final = 5.0
 # Callers come back at once otherwise, and only once: not before a part of
 # the queue is gone, and not after they have left.
-LEAST_RETRY_S: t.Final = 1.0
-MOST_RETRY_S: t.Final = 8.0
+MIN_RETRY_AFTER_S: t.Final = 1.0
+MAX_RETRY_AFTER_S: t.Final = 8.0
 # How many wait elsewhere is told with each change; older news is no news.
 LOAD_REPORT_TTL_S: t.Final = 2.0
 
@@ -37,7 +37,7 @@
 # How often a stream that waits looks for an engine.
 ADMISSION_CHECK_S: t.Final = 0.05
 # Until other entries know where a stream went.
-NEWS_S: t.Final = 0.2
+LOAD_REPORT_DELAY_S: t.Final = 0.2
 
 
 class AdmissionDecision(enum.Enum):
@@ -70,7 +70,7 @@
     per_s: float
     write_s: float = 0.0
     headroom: bool = True
-    openings: int = 1
+    ready_engines: int = 1
 
 
 class AdmissionController:
@@ -78,22 +78,22 @@
 
     def __init__(self) -> None:
         self.waiting: collections.Counter[str] = collections.Counter()
-        self.others: dict[str, int] = {}
+        self.remote_waiting: dict[str, int] = {}
         self.last_report_at = float('-inf')
-        self.held_at = float('-inf')
+        self.last_wait_at = float('-inf')
 
-    def apply_loads(self, others: dict[str, int], now: float) -> None:
+    def apply_loads(self, remote_waiting: dict[str, int], now: float) -> None:
         """Learn how many streams wait at all other entries, by service."""
-        self.others = others
+        self.remote_waiting = remote_waiting
         self.last_report_at = now
 
     def held(self, now: float) -> None:
         """Learn that a stream has to wait."""
-        self.held_at = now
+        self.last_wait_at = now
 
     def overloaded(self, now: float) -> bool:
         """Whether streams have had to wait lately."""
-        return now - self.held_at < CROWD_S
+        return now - self.last_wait_at < OVERLOAD_S
 
     def decide(
         self,
@@ -118,17 +118,20 @@
         if not estimate.engines or not aim_s:
             # There is nothing to wait for that could be foreseen.
             return AdmissionDecision.PLACE
-        whole_s = estimate.first_s + estimate.write_s
-        if not begun and left_s < whole_s < float('inf'):
+        total_s = estimate.first_s + estimate.write_s
+        if not begun and left_s < total_s < float('inf'):
             return AdmissionDecision.REFUSE
-        if not begun and waited_s + SURE * estimate.first_s <= aim_s:
+        if (
+            not begun
+            and waited_s + FIRST_EVENT_MARGIN * estimate.first_s <= aim_s
+        ):
             return AdmissionDecision.PLACE
-        most = min(MOST_WAIT * aim_s, left_s)
-        if estimate.idle and (estimate.headroom or waited_s >= most / 2):
+        max_wait_s = min(MAX_WAIT_AIMS * aim_s, left_s)
+        if estimate.idle and (estimate.headroom or waited_s >= max_wait_s / 2):
             return AdmissionDecision.PLACE
-        if waited_s >= most:
+        if waited_s >= max_wait_s:
             return AdmissionDecision.REFUSE
-        if arrives and not begun and queue_s > most:
+        if arrives and not begun and queue_s > max_wait_s:
             return AdmissionDecision.REFUSE
         return AdmissionDecision.WAIT
 
@@ -145,7 +148,7 @@
             at random, so that as many wait at others where nothing is heard
             of these.
         """
-        waiting = self._waiting_everywhere(service, entries, now)
+        waiting = self._total_waiting(service, entries, now)
         if not waiting:
             return 0.0
         return waiting / estimate.per_s if estimate.per_s else float('inf')
@@ -171,21 +174,22 @@
         """
         if begun:
             return True
-        waiting = self._waiting_everywhere(service, entries, now)
-        openings = max(1, estimate.openings)
-        if waiting <= openings:
+        waiting = self._total_waiting(service, entries, now)
+        ready_engines = max(1, estimate.ready_engines)
+        if waiting <= ready_engines:
             return True
-        return draw < openings / waiting * ADMISSION_CHECK_S / NEWS_S
+        return (
+            draw
+            < ready_engines / waiting * ADMISSION_CHECK_S / LOAD_REPORT_DELAY_S
+        )
 
-    def _waiting_everywhere(
-        self, service: str, entries: int, now: float
-    ) -> int:
+    def _total_waiting(self, service: str, entries: int, now: float) -> int:
         own = self.waiting[service]
         if now - self.last_report_at < LOAD_REPORT_TTL_S:
-            return own + self.others.get(service, 0)
+            return own + self.remote_waiting.get(service, 0)
         return own * max(1, entries)
 
 
 def retry_after_s(queue_s: float) -> float:
     """Return when a refused caller is to come back, in seconds."""
-    return min(MOST_RETRY_S, max(LEAST_RETRY_S, queue_s))
+    return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, queue_s))
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -291,7 +291,7 @@
     :returns: how many go there before entries hear of each other.
     """
     rng = random.Random(seed)
-    estimate = decisions.CapacityEstimate(1.0, True, 9, 6.0, openings=1)
+    estimate = decisions.CapacityEstimate(1.0, True, 9, 6.0, ready_engines=1)
     controllers = [decisions.AdmissionController() for _ in range(entries)]
     for admission in controllers:
         admission.waiting['s'] = 1
