--- a/src/bulrushhold/decisions/_repeats.py
+++ b/src/bulrushhold/decisions/_repeats.py
@@ -19,15 +19,15 @@
 
 # Clocks and windows of entries differ a little, and requests that clients
 # send to an entry that is just being lost count nowhere.
-MARGIN: t.Final = 0.8
+LOCAL_SHARE_MARGIN: t.Final = 0.8
 # What others sent is known 0.1 s late. A data centre's loss makes all entries
 # repeat at once what ran there: at 90 engines and 200 streams some 70 repeats,
 # a fifth of the budget, before their news arrives.
-TOGETHER: t.Final = 0.7
+SHARED_LIMIT: t.Final = 0.7
 # A stream that was lost midway can't be refused any more: its caller would
 # have to ask for it all again. One that has shown nothing is refused as not
 # run instead, and comes back as a request of its own.
-TOGETHER_BEGUN: t.Final = 0.9
+SHARED_LIMIT_STARTED: t.Final = 0.9
 LOAD_REPORT_TTL_S: t.Final = 2.0
 
 
@@ -46,7 +46,7 @@
         self.allowance = allowance
         self.window_s = window_s
         self.entries = 1
-        self.others: dict[str, messages.ServiceTraffic] = {}
+        self.remote_traffic: dict[str, messages.ServiceTraffic] = {}
         self.last_report_at = float('-inf')
         self.firsts: dict[str, collections.deque[float]] = {}
         self.repeats: dict[str, collections.deque[float]] = {}
@@ -62,27 +62,38 @@
         """
         firsts = len(self._recent(self.firsts, service, now))
         repeats = self._recent(self.repeats, service, now)
-        part = self.ratio * firsts + self.allowance / max(1, self.entries)
-        within = len(repeats) + 1 <= part * MARGIN
-        most = TOGETHER_BEGUN if begun else TOGETHER
-        if not within and not self._far_from_bound(service, now, most):
+        local_budget = self.ratio * firsts + self.allowance / max(
+            1, self.entries
+        )
+        within_local_budget = (
+            len(repeats) + 1 <= local_budget * LOCAL_SHARE_MARGIN
+        )
+        limit = SHARED_LIMIT_STARTED if begun else SHARED_LIMIT
+        if not within_local_budget and not self._has_shared_headroom(
+            service, now, limit
+        ):
             return False
         repeats.append(now)
         return True
 
-    def _far_from_bound(self, service: str, now: float, most: float) -> bool:
-        others = self.others.get(service)
-        if others is None or now - self.last_report_at > LOAD_REPORT_TTL_S:
+    def _has_shared_headroom(
+        self, service: str, now: float, limit: float
+    ) -> bool:
+        remote_traffic = self.remote_traffic.get(service)
+        if (
+            remote_traffic is None
+            or now - self.last_report_at > LOAD_REPORT_TTL_S
+        ):
             return False
-        firsts = others.firsts + len(self.firsts.get(service, ()))
-        repeats = others.repeats + len(self.repeats.get(service, ()))
-        return repeats < most * (self.ratio * firsts + self.allowance)
+        firsts = remote_traffic.firsts + len(self.firsts.get(service, ()))
+        repeats = remote_traffic.repeats + len(self.repeats.get(service, ()))
+        return repeats < limit * (self.ratio * firsts + self.allowance)
 
     def apply_loads(
-        self, others: dict[str, messages.ServiceTraffic], now: float
+        self, remote_traffic: dict[str, messages.ServiceTraffic], now: float
     ) -> None:
         """Learn what all other entries sent within the window."""
-        self.others = others
+        self.remote_traffic = remote_traffic
         self.last_report_at = now
 
     def traffic(self, now: float) -> dict[str, messages.ServiceTraffic]:
@@ -97,11 +108,11 @@
 
     def _recent(
         self,
-        counts: dict[str, collections.deque[float]],
+        times_by_service: dict[str, collections.deque[float]],
         service: str,
         now: float,
     ) -> collections.deque[float]:
-        times = counts.setdefault(service, collections.deque())
+        times = times_by_service.setdefault(service, collections.deque())
         while times and now - times[0] > self.window_s:
             times.popleft()
         return times
