--- a/src/bulrushhold/decisions/_crashers.py
+++ b/src/bulrushhold/decisions/_crashers.py
@@ -18,15 +18,15 @@
 # Engines lost under one request before it is refused. An innocent one that
 # shares an engine with a crasher is placed elsewhere by its prompt, so that
 # three such meetings in a row are rare; a crasher costs no more than these.
-DEATHS: t.Final = 3
+MAX_CRASHES: t.Final = 3
 # Deaths this close in time, of this many engines in one data centre, have
 # another cause: engines of one data centre fall silent within 0.6 s.
-TOGETHER_S: t.Final = 1.3
-TOGETHER: t.Final = 3
+CORRELATED_WINDOW_S: t.Final = 1.3
+MIN_CORRELATED_LOSSES: t.Final = 3
 # An engine is back some seconds after a crash, and callers come again at
 # once; one that was deployed anew may serve the request.
-KEPT_S: t.Final = 60.0
-REMEMBERED: t.Final = 10_000
+CRASH_TTL_S: t.Final = 60.0
+MAX_FINGERPRINTS: t.Final = 10_000
 
 
 def fingerprint(target: str, key: str, body: bytes) -> str:
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen
-class _Death:
+class _Crash:
     fingerprint: str
     engine: str
     at: float
@@ -57,34 +57,40 @@
         self, lost_near: cabc.Callable[[str, float, float], int]
     ) -> None:
         self.lost_near = lost_near
-        self.fresh: list[_Death] = []
-        self.lone: list[messages.CrashReport] = []
-        self.deaths: dict[str, dict[str, float]] = {}
+        self.unconfirmed: list[_Crash] = []
+        self.pending_reports: list[messages.CrashReport] = []
+        self.crashes: dict[str, dict[str, float]] = {}
 
     def died(self, fingerprint: str, engine: str, now: float) -> None:
         """Learn that an engine died under a request of this entry."""
-        self.fresh.append(_Death(fingerprint, engine, now))
+        self.unconfirmed.append(_Crash(fingerprint, engine, now))
 
     def settle(self, now: float) -> None:
         """Count the deaths that had the time to turn out as one of many."""
-        ripe = [d for d in self.fresh if now - d.at >= TOGETHER_S]
-        self.fresh = [d for d in self.fresh if now - d.at < TOGETHER_S]
-        for death in ripe:
-            near = self.lost_near(death.engine, death.at, TOGETHER_S)
-            if near < TOGETHER:
-                self._count(death.fingerprint, death.engine, now)
-                self.lone.append(
-                    messages.CrashReport(death.fingerprint, death.engine)
+        due = [
+            d for d in self.unconfirmed if now - d.at >= CORRELATED_WINDOW_S
+        ]
+        self.unconfirmed = [
+            d for d in self.unconfirmed if now - d.at < CORRELATED_WINDOW_S
+        ]
+        for crash in due:
+            nearby_losses = self.lost_near(
+                crash.engine, crash.at, CORRELATED_WINDOW_S
+            )
+            if nearby_losses < MIN_CORRELATED_LOSSES:
+                self._count(crash.fingerprint, crash.engine, now)
+                self.pending_reports.append(
+                    messages.CrashReport(crash.fingerprint, crash.engine)
                 )
 
     def take_pending(self) -> list[messages.CrashReport]:
         """Return what other entries should know; each death only once."""
-        lone, self.lone = self.lone, []
-        return lone
+        pending_reports, self.pending_reports = self.pending_reports, []
+        return pending_reports
 
     def report_again(self, reports: list[messages.CrashReport]) -> None:
         """Put back what may not have arrived."""
-        self.lone = reports + self.lone
+        self.pending_reports = reports + self.pending_reports
 
     def add_reports(
         self, reports: cabc.Iterable[messages.CrashReport], now: float
@@ -95,21 +101,21 @@
 
     def served(self, fingerprint: str) -> None:
         """Learn that a request was served whole: it is no crasher."""
-        self.deaths.pop(fingerprint, None)
+        self.crashes.pop(fingerprint, None)
 
     def refused_for(self, fingerprint: str, now: float) -> float:
         """Return for how many seconds a request is refused; 0 for not."""
-        deaths = self.deaths.get(fingerprint)
-        if deaths is None:
+        crashes = self.crashes.get(fingerprint)
+        if crashes is None:
             return 0.0
-        recent = [at for at in deaths.values() if now - at < KEPT_S]
+        recent = [at for at in crashes.values() if now - at < CRASH_TTL_S]
         if not recent:
-            del self.deaths[fingerprint]
-        if len(recent) < DEATHS:
+            del self.crashes[fingerprint]
+        if len(recent) < MAX_CRASHES:
             return 0.0
-        return max(recent) + KEPT_S - now
+        return max(recent) + CRASH_TTL_S - now
 
     def _count(self, fingerprint: str, engine: str, now: float) -> None:
-        self.deaths.setdefault(fingerprint, {})[engine] = now
-        while len(self.deaths) > REMEMBERED:
-            del self.deaths[next(iter(self.deaths))]
+        self.crashes.setdefault(fingerprint, {})[engine] = now
+        while len(self.crashes) > MAX_FINGERPRINTS:
+            del self.crashes[next(iter(self.crashes))]
