--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -56,7 +56,7 @@
     assert last.run_s('s', 3.0) == pytest.approx(9.0)
     own = decisions.EngineSpeeds()
     own.apply_loads(loads.others('e1', 0).speeds)
-    assert own.others['s'].runs == pytest.approx(9.0)
+    assert own.remote['s'].runs == pytest.approx(9.0)
 
 
 def test_one_frozen_entry_is_no_slow_service():
