--- a/tests/test_loadreports.py
+++ b/tests/test_loadreports.py
@@ -28,15 +28,15 @@
         self.loss = loss
         self.now = 0.0
         self.sent = 0
-        self.cut = set()
-        self.starts = itertools.count(1)
+        self.partitioned = set()
+        self.incarnations = itertools.count(1)
         self.nodes = {}
         for number in range(count):
             self.start(f'n{number}')
 
     def start(self, name):
         self.nodes[name] = decisions.LoadAggregator(
-            name, f'dc-{name}', next(self.starts)
+            name, f'dc-{name}', next(self.incarnations)
         )
 
     def exchange(self, times=1):
@@ -50,9 +50,9 @@
 
     def _send(self, load):
         for name, node in self.nodes.items():
-            if name == load.node or load.node in self.cut:
+            if name == load.node or load.node in self.partitioned:
                 continue
-            if name in self.cut:
+            if name in self.partitioned:
                 continue
             self.sent += 1
             if self.rng.random() >= self.loss:
@@ -67,7 +67,7 @@
     return Network(5)
 
 
-def test_each_entry_gets_the_sum_of_all_others(network):
+def test_a_summary_is_the_sum_of_all_other_entries(network):
     for number, name in enumerate(network.nodes):
         node = network.nodes[name]
         node.take(report(f'e{number}', 'i1', f'i{number}-own'), network.now)
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize('seed', range(8))
-def test_events_arrive_over_links_that_lose_messages(seed):
+def test_events_are_delivered_over_lossy_links(seed):
     """Guards against a lost engine that only one data centre knows of."""
     network = Network(5, seed, loss=0.5)
     network.exchange(5)
@@ -102,25 +102,25 @@
     assert network.nodes['n0'].node_load(network.now).sum.lost == []
 
 
-def test_an_event_of_a_restarted_process_is_news(network):
+def test_an_event_after_a_process_restart_is_new(network):
     """Guards against events that look old since numbers begin anew."""
     network.nodes['n0'].take(report('e1', 'i1'), network.now)
     for number in range(9):
         network.nodes['n0'].take(report('e1', f'i{number}'), network.now)
     network.exchange(2)
-    known = network.summary('n1').number
+    known_number = network.summary('n1').number
     network.start('n0')
     network.nodes['n0'].take(report('e1', lost=['i7']), network.now)
     network.exchange(2)
-    assert network.summary('n1', since=known).lost == ['i7']
+    assert network.summary('n1', since=known_number).lost == ['i7']
 
 
-def test_a_data_centre_that_is_cut_off_is_not_taken_for_idle(network):
+def test_a_partitioned_data_centre_keeps_its_load_for_a_while(network):
     """Guards against prompts for engines that only look idle."""
     for number, name in enumerate(network.nodes):
         network.nodes[name].take(report(f'e{number}', 'i1'), 0.0)
     network.exchange(4)
-    network.cut = {'n0'}
+    network.partitioned = {'n0'}
     network.exchange(20)
     summary = network.summary('n1')
     assert summary.silent == ['dc-n0']
@@ -131,15 +131,15 @@
     assert summary.engines['i1'].running == 4
 
 
-def test_sums_say_how_old_they_are(network):
+def test_a_summary_reports_the_age_of_its_oldest_sum(network):
     network.exchange(4)
     assert network.summary('n1').age_s <= STEP_S
-    network.cut = {'n0'}
+    network.partitioned = {'n0'}
     network.exchange(8)
     assert network.summary('n1').age_s == pytest.approx(8 * STEP_S)
 
 
-def test_messages_grow_with_processes_and_not_with_entries():
+def test_message_count_does_not_depend_on_the_number_of_entries():
     counts = []
     for entries in (5, 50, 500):
         network = Network(5)
@@ -153,41 +153,41 @@
     assert len(set(counts)) == 1
 
 
-class Exchange(stateful.RuleBasedStateMachine):
+class LoadExchange(stateful.RuleBasedStateMachine):
     """Compares what processes believe with the truth once all settle."""
 
     def __init__(self):
         super().__init__()
         self.network = Network(3, loss=0.2)
-        self.truth = {}
+        self.engine_by_entry = {}
 
     @stateful.rule(
         entry=strategies.integers(0, 5),
         engine=strategies.integers(0, 3),
         at=strategies.integers(0, 2),
     )
-    def run_there(self, entry, engine, at):
+    def start_stream(self, entry, engine, at):
         name = f'e{entry}'
         for node in self.network.nodes.values():
             node.forget(name)
-        self.truth[name] = f'i{engine}'
+        self.engine_by_entry[name] = f'i{engine}'
         self.network.nodes[f'n{at}'].take(
             report(name, f'i{engine}'), self.network.now
         )
 
     @stateful.rule(entry=strategies.integers(0, 5))
-    def end(self, entry):
-        self.truth.pop(f'e{entry}', None)
+    def end_stream(self, entry):
+        self.engine_by_entry.pop(f'e{entry}', None)
         for node in self.network.nodes.values():
             node.forget(f'e{entry}')
 
     @stateful.rule(at=strategies.integers(0, 2))
-    def cut_off(self, at):
-        self.network.cut = {f'n{at}'}
+    def partition(self, at):
+        self.network.partitioned = {f'n{at}'}
 
     @stateful.rule()
-    def join(self):
-        self.network.cut = set()
+    def end_partition(self):
+        self.network.partitioned = set()
 
     @stateful.rule(times=strategies.integers(1, 30))
     def exchange(self, times):
@@ -198,15 +198,15 @@
         lost = self.network.nodes[f'n{at}'].reports
         self.network.start(f'n{at}')
         for name in lost:
-            self.truth.pop(name, None)
+            self.engine_by_entry.pop(name, None)
 
     @stateful.rule()
-    def settle(self):
-        self.network.cut = set()
+    def converge(self):
+        self.network.partitioned = set()
         self.network.loss = 0.0
         self.network.exchange(3)
         expected = {}
-        for engine in self.truth.values():
+        for engine in self.engine_by_entry.values():
             expected[engine] = expected.get(engine, 0) + 1
         for name in self.network.nodes:
             summary = self.network.summary(name)
@@ -216,13 +216,13 @@
         self.network.loss = 0.2
 
 
-Exchange.TestCase.settings = hypothesis.settings(
+LoadExchange.TestCase.settings = hypothesis.settings(
     max_examples=60, stateful_step_count=30, deadline=None, derandomize=True
 )
-test_processes_believe_the_truth_once_reports_settle = Exchange.TestCase
+test_summaries_converge_to_the_actual_load = LoadExchange.TestCase
 
 
-def test_two_entries_that_swap_an_engine_see_each_other(network):
+def test_load_that_moves_between_entries_is_reported_to_both(network):
     """Guards against differences that miss what adds up to the same."""
     node = network.nodes['n0']
     node.take(report('e1', 'i1'), 0.0)
@@ -243,11 +243,11 @@
     node = network.nodes['n0']
     node.take(report('e1', *(f'i{n}' for n in range(200))), 0.0)
     network.exchange(3)
-    known = network.summary('n1').number
+    known_number = network.summary('n1').number
     node.take(report('e2', 'i7'), 0.0)
     size = len(messages.encode(node.node_load(network.now)))
     assert size < 400
     network.exchange(1)
-    summary = network.summary('n1', since=known)
+    summary = network.summary('n1', since=known_number)
     assert summary.engines == {'i7': messages.EngineLoad(2000, 2)}
     assert len(messages.encode(summary)) < 300
