--- a/tests/forwarding/test_crashers.py
+++ b/tests/forwarding/test_crashers.py
@@ -11,74 +11,74 @@
 from tests.forwarding import fakes
 
 
-def crashers(near=1):
-    return decisions.Crashers(lambda engine, at, within: near)
+def make_detector(nearby_losses=1):
+    return decisions.Crashers(lambda engine, at, within: nearby_losses)
 
 
-def kill(made, fingerprint, engines):
+def add_crashes(detector, fingerprint, engines):
     for number, engine in enumerate(engines):
-        made.died(fingerprint, engine, float(number))
-    made.settle(10.0)
+        detector.died(fingerprint, engine, float(number))
+    detector.settle(10.0)
 
 
-def test_three_engines_that_died_alone_under_a_request_name_it():
-    made = crashers()
-    kill(made, 'bad', ['i0', 'i1'])
-    assert made.refused_for('bad', 10.0) == 0
-    kill(made, 'bad', ['i2'])
-    assert 0 < made.refused_for('bad', 10.0) <= 60
-    assert made.refused_for('other', 10.0) == 0
+def test_a_request_that_crashed_three_engines_is_blocked():
+    detector = make_detector()
+    add_crashes(detector, 'bad', ['i0', 'i1'])
+    assert detector.refused_for('bad', 10.0) == 0
+    add_crashes(detector, 'bad', ['i2'])
+    assert 0 < detector.refused_for('bad', 10.0) <= 60
+    assert detector.refused_for('other', 10.0) == 0
 
 
-def test_one_engine_that_dies_again_and_again_names_nobody():
+def test_repeated_crashes_of_one_engine_block_no_request():
     # A faulty engine resets whatever it gets. That is its own fault.
-    made = crashers()
-    kill(made, 'innocent', ['i0', 'i0', 'i0', 'i0'])
-    assert made.refused_for('innocent', 10.0) == 0
+    detector = make_detector()
+    add_crashes(detector, 'innocent', ['i0', 'i0', 'i0', 'i0'])
+    assert detector.refused_for('innocent', 10.0) == 0
 
 
-def test_a_lost_data_centre_names_nobody():
+def test_correlated_losses_block_no_request():
     # All engines of a data centre lose power, three times over, and a long
     # stream is moved each time. It is innocent.
-    made = crashers(near=5)
-    kill(made, 'innocent', ['i0', 'i1', 'i2'])
-    assert made.refused_for('innocent', 10.0) == 0
+    detector = make_detector(nearby_losses=5)
+    add_crashes(detector, 'innocent', ['i0', 'i1', 'i2'])
+    assert detector.refused_for('innocent', 10.0) == 0
 
 
-def test_a_request_that_was_served_is_no_crasher():
-    made = crashers()
-    kill(made, 'same-body', ['i0', 'i1'])
-    made.served('same-body')
-    kill(made, 'same-body', ['i2'])
-    assert made.refused_for('same-body', 10.0) == 0
+def test_a_success_clears_the_crashes_of_a_request():
+    detector = make_detector()
+    add_crashes(detector, 'same-body', ['i0', 'i1'])
+    detector.served('same-body')
+    add_crashes(detector, 'same-body', ['i2'])
+    assert detector.refused_for('same-body', 10.0) == 0
 
 
-def test_a_crasher_is_let_in_again_after_a_while():
+def test_a_block_expires():
     # The engines may have been deployed anew by then.
-    made = crashers()
-    kill(made, 'bad', ['i0', 'i1', 'i2'])
-    seconds = made.refused_for('bad', 10.0)
-    assert made.refused_for('bad', 10.0 + seconds) == 0
+    detector = make_detector()
+    add_crashes(detector, 'bad', ['i0', 'i1', 'i2'])
+    seconds = detector.refused_for('bad', 10.0)
+    assert detector.refused_for('bad', 10.0 + seconds) == 0
 
 
-def test_deaths_that_other_entries_saw_count_once_each():
+def test_crash_reports_of_other_entries_count_once_each():
     # The caller sends its request through another entry each time. Entries
     # tell each other through control, which may say a thing twice.
     loads = decisions.LoadAggregator()
-    last = crashers()
+    receiver = make_detector()
     for number in range(3):
-        made = crashers()
-        kill(made, 'bad', [f'i{number}'])
-        seen = messages.LoadReport(
-            f'e{number}', {}, [], crashes=made.take_pending()
+        detector = make_detector()
+        add_crashes(detector, 'bad', [f'i{number}'])
+        report = messages.LoadReport(
+            f'e{number}', {}, [], crashes=detector.take_pending()
         )
-        loads.take(seen, 10.0)
-        last.add_reports(loads.others('e9', 0).crashes, 10.0)
-        assert bool(last.refused_for('bad', 10.0)) == (number == 2)
-    assert made.take_pending() == []
+        loads.take(report, 10.0)
+        receiver.add_reports(loads.others('e9', 0).crashes, 10.0)
+        assert bool(receiver.refused_for('bad', 10.0)) == (number == 2)
+    assert detector.take_pending() == []
 
 
-def test_engines_of_one_data_centre_are_counted_together():
+def test_losses_are_counted_by_data_centre():
     placement = decisions.Placement(None)
     placement.update(
         [
@@ -92,7 +92,7 @@
     assert placement.lost_near('gone', 5.0, 1.3) == 0
 
 
-async def test_a_crasher_that_comes_again_is_refused_and_others_are_served(
+async def test_a_poison_request_is_refused_and_others_are_served(
     client, parts, fleet
 ):
     # A request has cost three engines. Its caller sends it once more: it
@@ -101,9 +101,9 @@
     fleet._take(fakes.a_reply())
     forwarder = forwarding.Forwarder(fleet, parts)
     call = fakes.a_job(parts, routes.Kind.IDEMPOTENT).call
-    bad = decisions.fingerprint('/a/x', call.key, b'bad')
+    poison = decisions.fingerprint('/a/x', call.key, b'bad')
     parts.crashers.add_reports(
-        [messages.CrashReport(bad, f'i{n}') for n in range(3)],
+        [messages.CrashReport(poison, f'i{n}') for n in range(3)],
         parts.clock(),
     )
     client.scripts = [fakes.Script()]
@@ -119,7 +119,7 @@
     assert reply.status == 200
 
 
-async def test_an_engine_lost_under_a_stream_is_counted(client, parts):
+async def test_each_engine_lost_by_a_stream_is_reported(client, parts):
     client.scripts = [
         fakes.Script(events=(1,), then='crash'),
         fakes.Script(events=(2,), then='crash'),
