--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -16,7 +16,7 @@
 
 
 AIM_S = 4.5
-LEAVE_S = 4 * AIM_S
+CALLER_TIMEOUT_S = 4 * AIM_S
 PROMPT = 8000
 WANTED = decisions.Wanted(PROMPT, AIM_S, 0.7)
 MEMORY = 8500
@@ -42,25 +42,25 @@
     )
 
 
-def test_what_can_be_in_time_goes_at_once():
+def test_a_stream_that_can_meet_its_aim_is_placed_at_once():
     assert decide(3.4) is decisions.AdmissionDecision.PLACE
     assert decide(3.4, waited=0.2) is decisions.AdmissionDecision.WAIT
 
 
-def test_what_is_late_goes_only_where_it_delays_nobody():
+def test_a_late_stream_goes_only_to_an_idle_engine():
     assert decide(9.0, waited=6.0) is decisions.AdmissionDecision.WAIT
     assert (
         decide(2.0, waited=6.0, idle=True) is decisions.AdmissionDecision.PLACE
     )
 
 
-def test_a_queue_longer_than_callers_wait_is_refused_at_once():
+def test_a_stream_is_refused_if_the_queue_exceeds_the_maximum_wait():
     # 9 engines finish six streams a second; twelve wait at each of 9 entries.
     assert decide(9.0, waiting=12) is decisions.AdmissionDecision.REFUSE
     assert decide(9.0, waiting=3) is decisions.AdmissionDecision.WAIT
 
 
-def test_a_refused_caller_is_told_when_the_queue_is_gone():
+def test_retry_after_is_the_time_until_the_queue_is_empty():
     admission = decisions.AdmissionController()
     estimate = decisions.CapacityEstimate(9.0, False, 9, 6.3)
     admission.waiting['s'] = 4
@@ -74,7 +74,7 @@
     assert decisions.retry_after_s(queue_s) == 1.0
 
 
-def test_a_stream_that_waits_alone_is_not_taken_for_a_crowd():
+def test_reported_queue_lengths_replace_the_local_estimate():
     # Engines fail in part, and two of them are left. One stream waits here;
     # others tell that nobody waits there. It is served within seconds, and
     # must not be refused as if as many waited at each of 67 entries.
@@ -88,7 +88,7 @@
     assert admission.queue_s('s', estimate, 67, 0.3) > 15.3
 
 
-def test_without_engines_or_an_aim_nothing_is_held():
+def test_without_engines_streams_are_placed_at_once():
     assert decide(99.0, engines=0) is decisions.AdmissionDecision.PLACE
 
 
@@ -97,12 +97,12 @@
 
 
 @attrs.define
-class PlayedEngine:
+class SimulatedEngine:
     speeds: decisions.EngineSpeeds
     queue: list = attrs.field(factory=list)
     running: list = attrs.field(factory=list)
 
-    def work(self, now):
+    def advance(self, now):
         self.running = [end for end in self.running if end > now]
         budget = STEP_S
         while self.queue and budget > 0:
@@ -119,7 +119,9 @@
                 self.running.append(now + DECODE_S + len(self.running))
 
 
-def play_crowd(gated, engines=9, rate=18.0, seconds=30.0, seed=1):
+def simulate_overload(
+    with_admission_control, engines=9, rate=18.0, seconds=30.0, seed=1
+):
     """Return each stream's arrival and first event, or ``None``."""
     rng = random.Random(seed)
     placement = decisions.Placement(rng)
@@ -131,30 +133,30 @@
         ]
     )
     speeds = placement.speeds
-    played = {f'i{n}': PlayedEngine(speeds) for n in range(engines)}
+    simulated = {f'i{n}': SimulatedEngine(speeds) for n in range(engines)}
     admission = decisions.AdmissionController()
-    streams, held = [], []
+    streams, waiting_streams = [], []
     now = 0.0
-    while now < seconds + LEAVE_S:
+    while now < seconds + CALLER_TIMEOUT_S:
         now += STEP_S
-        for ident, engine in played.items():
-            engine.work(now)
+        for ident, engine in simulated.items():
+            engine.advance(now)
             backend = placement.backends[ident]
             backend.inflight = len(engine.queue) + len(engine.running)
             backend.reading = PROMPT * len(engine.queue)
             backend.memory = MEMORY * backend.inflight
-        crowd = 4.0 <= now < 11.0
-        per_s = rate if crowd else 2.5
+        overloaded = 4.0 <= now < 11.0
+        per_s = rate if overloaded else 2.5
         if now < seconds and rng.random() < per_s * STEP_S:
             stream = {'at': now, 'first': None, 'unread': 1.0}
             streams.append(stream)
-            held.append(stream)
+            waiting_streams.append(stream)
         # The newest first: it can still be in time.
-        for stream in reversed(list(held)):
+        for stream in reversed(list(waiting_streams)):
             estimate = placement.estimate_capacity(
                 's', now, wanted=WANTED, memory=MEMORY
             )
-            admission.waiting['s'] = len(held)
+            admission.waiting['s'] = len(waiting_streams)
             queue_s = admission.queue_s('s', estimate, 1, now)
             decision = admission.decide(
                 estimate,
@@ -164,15 +166,21 @@
                 queue_s=queue_s,
                 arrives=stream['at'] == now,
             )
-            if gated and decision is decisions.AdmissionDecision.WAIT:
+            if (
+                with_admission_control
+                and decision is decisions.AdmissionDecision.WAIT
+            ):
                 continue
-            held.remove(stream)
-            if gated and decision is decisions.AdmissionDecision.REFUSE:
+            waiting_streams.remove(stream)
+            if (
+                with_admission_control
+                and decision is decisions.AdmissionDecision.REFUSE
+            ):
                 continue
             chosen = placement.choose_engine(
                 's', now, tokens=PROMPT, part=str(stream['at']), tried=set()
             )
-            played[chosen.ident].queue.append(stream)
+            simulated[chosen.ident].queue.append(stream)
             chosen.reading += PROMPT
             stream['reading'] = speeds.reads(
                 's', chosen.ident, chosen.reading, now
@@ -181,32 +189,38 @@
     return streams
 
 
-def shares(streams):
+def summarize(streams):
     waits = [s['first'] - s['at'] for s in streams if s['first'] is not None]
     in_time = sum(wait <= AIM_S for wait in waits)
-    served = sum(wait <= LEAVE_S for wait in waits)
+    served = sum(wait <= CALLER_TIMEOUT_S for wait in waits)
     return in_time / len(streams), served / len(streams), waits
 
 
-def test_most_of_a_crowd_is_served_in_time():
+def test_admission_control_keeps_most_streams_in_time_under_overload():
     # Seven times the usual streams come for 7 s. Sent on at once, each waits
     # behind all that came before, also when the crowd is over: 43 to 50 % of
     # first events are in time. Held here, 75 to 81 % are, and each tenth
     # stream is refused and told when to come back.
-    before, after, served = [], [], []
+    without_control, with_control, served = [], [], []
     for seed in range(4):
-        before.append(shares(play_crowd(False, seed=seed))[0])
-        in_time, in_all, _ = shares(play_crowd(True, seed=seed))
-        after.append(in_time)
-        served.append(in_all)
-    assert statistics.mean(before) < 0.55
-    assert statistics.mean(after) > 0.70
+        without_control.append(
+            summarize(simulate_overload(False, seed=seed))[0]
+        )
+        in_time, served_share, _ = summarize(
+            simulate_overload(True, seed=seed)
+        )
+        with_control.append(in_time)
+        served.append(served_share)
+    assert statistics.mean(without_control) < 0.55
+    assert statistics.mean(with_control) > 0.70
     assert statistics.mean(served) > 0.85
 
 
-def test_a_small_crowd_loses_nobody():
+def test_a_mild_overload_loses_no_stream():
     for seed in range(4):
-        in_time, served, _ = shares(play_crowd(True, rate=14.0, seed=seed))
+        in_time, served, _ = summarize(
+            simulate_overload(True, rate=14.0, seed=seed)
+        )
         assert in_time > 0.85
         assert served > 0.99
 
@@ -234,7 +248,9 @@
     assert parts.admission.waiting['engines'] == 200
 
 
-async def test_a_held_stream_goes_as_soon_as_there_is_room(client, parts):
+async def test_a_waiting_stream_is_placed_once_an_engine_has_free_memory(
+    client, parts
+):
     parts.placement.capacity = {'engines': 20_000}
     for backend in parts.placement.backends.values():
         backend.memory = 20_000
@@ -254,7 +270,7 @@
     assert client.attempts[0].backup == ''
 
 
-def test_engines_that_were_full_long_ago_hold_nobody_back():
+def test_outdated_memory_reports_do_not_block_admission():
     # Control is lost in a crowd. What other entries had at engines then is
     # all an entry knows of them; seconds later that says nothing any more.
     placement = decisions.Placement(random.Random(1))
@@ -262,10 +278,10 @@
     placement.update([messages.ListedBackend('i0', 's', 'h0:1', 'dc0', 64)])
     full = {'i0': messages.EngineLoad(40_000, 10, CAPACITY)}
     placement.apply_loads(messages.LoadSummary(1, full, []), 0.0)
-    at_once = placement.estimate_capacity(
+    current = placement.estimate_capacity(
         's', 0.1, wanted=WANTED, memory=MEMORY
     )
-    assert at_once.first_s == float('inf')
+    assert current.first_s == float('inf')
     later = placement.estimate_capacity(
         's', 10.0, wanted=WANTED, memory=MEMORY
     )
@@ -273,7 +289,9 @@
     assert later.first_s < AIM_S
 
 
-async def test_a_prompt_that_no_engine_holds_is_refused_at_once(client, parts):
+async def test_a_prompt_too_large_for_any_engine_is_refused_at_once(
+    client, parts
+):
     # Waiting for room would end in a refusal after as long as callers wait.
     parts.placement.capacity = {'engines': 5000}
     begun = parts.clock()
@@ -285,7 +303,7 @@
     assert client.log == []
 
 
-def place_herd(entries, seed, seconds=0.2):
+def admit_concurrently(entries, seed, seconds=0.2):
     """Let one stream wait at each entry as one engine comes back.
 
     :returns: how many go there before entries hear of each other.
@@ -296,7 +314,7 @@
     for admission in controllers:
         admission.waiting['s'] = 1
         admission.apply_loads({'s': entries - 1}, 0.0)
-    placed = 0
+    admitted = 0
     for step in range(round(seconds / decisions.ADMISSION_CHECK_S)):
         now = step * decisions.ADMISSION_CHECK_S
         for admission in controllers:
@@ -304,24 +322,24 @@
                 's', estimate, entries, now, rng.random()
             ):
                 admission.waiting['s'] = 0
-                placed += 1
-    return placed
+                admitted += 1
+    return admitted
 
 
 @pytest.mark.parametrize('entries', [2, 8, 40, 200])
-def test_one_engine_that_comes_back_is_not_given_all_that_wait(entries):
+def test_concurrent_entries_do_not_overfill_one_free_engine(entries):
     """Guards against ten prompts on one engine that all saw become idle."""
-    placed = [place_herd(entries, seed) for seed in range(40)]
-    assert statistics.mean(placed) <= 1.5
-    assert max(placed) <= 5
-    assert statistics.mean(placed) >= 0.4
+    admitted = [admit_concurrently(entries, seed) for seed in range(40)]
+    assert statistics.mean(admitted) <= 1.5
+    assert max(admitted) <= 5
+    assert statistics.mean(admitted) >= 0.4
 
 
-def test_a_stream_that_waits_alone_goes_at_once():
-    assert place_herd(1, 0, decisions.ADMISSION_CHECK_S) == 1
+def test_a_single_waiting_stream_is_admitted_at_once():
+    assert admit_concurrently(1, 0, decisions.ADMISSION_CHECK_S) == 1
 
 
-def test_a_stream_that_goes_on_comes_before_those_that_begin():
+def test_a_started_stream_is_admitted_before_new_ones():
     """Guards against pauses that grow while new streams are placed."""
     admission = decisions.AdmissionController()
     admission.waiting['s'] = 100
@@ -331,7 +349,7 @@
     assert admission.goes_now(*options, begun=True)
 
 
-def test_copies_of_one_moment_go_to_several_engines():
+def test_concurrent_copies_spread_over_several_engines():
     """Guards against copies that find no room where all entries send them."""
     chosen = set()
     for seed in range(8):
@@ -357,7 +375,7 @@
     assert len(chosen) >= 3
 
 
-def test_no_copy_goes_to_a_data_centre_that_is_being_lost():
+def test_no_copy_goes_to_a_failing_data_centre():
     """Guards against copies that are gone as soon as they are needed."""
     for seed in range(20):
         placement = decisions.Placement(random.Random(seed))
