--- a/src/bulrushhold/decisions/_placing.py
+++ b/src/bulrushhold/decisions/_placing.py
@@ -1,7 +1,8 @@
-"""Chooses the backend server for an opaque request, and for its backup.
+"""Choose the backend server for a request and for the copy of its state.
 
-Answers two loads: plain services whose copies differ in speed and fail
-in part, and model engines on which one long prompt delays all others.
+Covers plain services, whose servers differ in latency and failure rate,
+and generation engines, on which one long prompt delays all others. Costs of
+engines are measured in prompts of the size of the one to be placed.
 """
 
 import heapq
@@ -16,62 +17,58 @@
 from bulrushhold.decisions import _placed
 from bulrushhold.decisions import _speeds
 
-# A request that may run once is lost where it fails, so that a server that
-# fails one in ten is as bad as one three times as slow.
+# A failed at-most-once request can't be retried, so a server's failure rate
+# weighs more for it than for an idempotent one.
 AT_MOST_ONCE_FAILURE_WEIGHT: t.Final = 20.0
 IDEMPOTENT_FAILURE_WEIGHT: t.Final = 6.0
-# What speaks against an engine is counted in prompts of the stream's size:
-# what it has to read before, and in place of each of these as much more.
-#
-# A stream that runs there stretches the reading of a new prompt a little.
+# Each running stream slows the reading of a new prompt a little.
 RUNNING_STREAM_COST_PROMPTS: t.Final = 0.08
-# Engines to choose among, ranked by a hash of the prompt's last part. When a
-# data centre dies, all entries place its streams within the 30 ms that news
-# takes: the best of all engines would get several prompts, the best of a
-# few differs. And a caller that comes back through another entry, since its
-# own one was lost, is sent to the engine that has its prompt in memory.
+# Number of engines preferred for a prompt, chosen by rendezvous hashing of its
+# last part. Spreads the streams of entries that can't see each other's choices
+# yet, and lets a retry through another entry reach the engine that has the
+# prompt cached.
 AFFINITY_CANDIDATES: t.Final = 5
-# Each rank is put behind the one before by as much as one running stream.
+# Added for each rank in the rendezvous order.
 RANK_COST_PROMPTS: t.Final = 0.08
-# A copy takes as much memory as its stream, and keeps it if the stream's
-# engine is lost; above this new prompts would find no room.
+# A copy occupies as much memory as its stream; above this share of an engine's
+# memory, new prompts would find no room.
 MAX_COPY_MEMORY_SHARE: t.Final = 0.85
-# While streams wait for engines, that memory is worth more to them.
+# Applies while streams wait for engines, which need the memory more.
 MAX_COPY_MEMORY_SHARE_OVERLOADED: t.Final = 0.7
-# Two drawn at random level load nearly as well as the best of all does
-# (Mitzenmacher, The power of two choices, 2001).
+# The less loaded of two random candidates balances nearly as well as the best
+# of all (Mitzenmacher, The power of two choices, 2001).
 COPY_CHOICES: t.Final = 2
-# One that is late anyway goes where all prompts, its own included, are read
-# within this share of the aim: the next one is then in time there, too.
+# An engine counts as idle if it can read all its prompts and the new one
+# within this share of the aim.
 IDLE_AIM_SHARE: t.Final = 0.7
-# Engines that could show an event in time while one that is late is placed.
+# Late streams are placed while at least this many engines can meet the aim, so
+# that new streams still find one.
 HEADROOM_ENGINES: t.Final = 2
-# Of the mean time of runs, what even a short one takes.
+# Lower bound of a run's duration, as a share of the mean.
 MIN_RUN_SHARE: t.Final = 0.5
 MIN_LATENCY_S: t.Final = 0.005
-# Entries that place at the same moment don't see each other's choice. A mean
-# head start, drawn for each prompt and engine, keeps them from meeting at the
-# idlest one.
+# Mean of the random cost that keeps entries which choose at the same moment
+# from all picking the least loaded engine.
 JITTER_PROMPTS: t.Final = 0.1
-# While streams of a lost data centre are placed, many at once, or while no
-# news comes, most of the load of the next prompts isn't known.
+# Used while load reports are outdated, or streams of a lost engine are being
+# placed: most of the current load is then unknown.
 STALE_JITTER_PROMPTS: t.Final = 0.8
 STALE_AFTER_LOSS_S: t.Final = 0.5
 STALE_AFTER_S: t.Final = 0.5
 
 
 def _exponential_jitter(part: str, ident: str) -> float:
-    """Return a draw from the exponential distribution of mean 1.
+    """Return a pseudorandom value, exponentially distributed with mean 1.
 
-    The same for each entry, so that a caller that comes back meets the
-    engine that has read its prompt.
+    It depends only on the arguments, so that all entries compute the same
+    value and a retry reaches the engine that has its prompt cached.
     """
     draw = xxhash.xxh64_intdigest(f'{ident}/{part}'.encode()) / 2**64
     return -math.log1p(-draw)
 
 
 class Placement(_known.BackendPool):
-    """The choice among all backend servers that are known."""
+    """Load balancer over all known backend servers."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__()
@@ -80,10 +77,10 @@
     def choose(
         self, service: str, now: float, *, once: bool, tried: set[str]
     ) -> _placed.Placed | None:
-        """Return the server with the least wait for a plain request.
+        """Return the server with the shortest expected wait.
 
-        :param once: the request is lost where it fails.
-        :param tried: idents that it has been to.
+        :param at_most_once: the request can't be retried if it fails.
+        :param tried: idents of the servers already tried.
         """
         weight = (
             AT_MOST_ONCE_FAILURE_WEIGHT if once else IDEMPOTENT_FAILURE_WEIGHT
@@ -91,7 +88,7 @@
 
         def wait(backend: _placed.Placed) -> float:
             load = backend.inflight + backend.remote_requests_now(now) + 1
-            # Far below its places a server is as quick as when idle.
+            # Below half of its slots a server is about as fast as when idle.
             load = max(1.0, load / max(1.0, backend.slots * 0.5))
             latency = max(backend.latency, MIN_LATENCY_S)
             penalty = 1 + weight * backend.failures_now(now)
@@ -110,13 +107,13 @@
         tried: set[str],
         avoid_data_centre: str = '',
     ) -> _placed.Placed | None:
-        """Return the engine that will show the first event soonest.
+        """Return the engine expected to produce the first event soonest.
 
-        All engines of a service count as equally fast, so that tokens to be
-        read stand for time.
+        All engines of a service are assumed to be equally fast, so that the
+        number of tokens to read stands for time.
 
-        :param tokens: of the prompt.
-        :param part: last part of the prompt; an engine that has read it
+        :param tokens: length of the prompt.
+        :param part: last part of the prompt; an engine that has it cached
             needn't read it again.
         :param avoid_data_centre: data centre that just lost this stream.
         """
@@ -149,8 +146,7 @@
         idle = not best.reading + best.others.reading
         if idle and self.has_room(best, now, tokens, _known.MAX_MEMORY_SHARE):
             return best
-        # All of the few are reading or full: an idle engine elsewhere is
-        # worth more than what the few are for.
+        # All preferred engines are reading or full: consider all others too.
         stale = self._is_load_stale(service, now)
         jitter_prompts = STALE_JITTER_PROMPTS if stale else JITTER_PROMPTS
 
@@ -164,9 +160,9 @@
     def likely_keepers(
         self, service: str, part: str, now: float
     ) -> list[_placed.Placed]:
-        """Return the engines that may have a part of a prompt in memory.
+        """Return the engines that may have a part of a prompt cached.
 
-        None where it is known which one has, or where it has no name.
+        Empty if the engine is known, or if the part has no name.
         """
         if not part or self.engine_with_prompt(part, now):
             return []
@@ -177,7 +173,7 @@
         ]
 
     def _is_load_stale(self, service: str, now: float) -> bool:
-        """Whether other entries place streams now that aren't known here."""
+        """Return whether much of the other entries' load is unknown here."""
         old = now - self.last_report_at > STALE_AFTER_S
         if old or self.silent_data_centres:
             return True
@@ -195,10 +191,10 @@
         *,
         overloaded: bool = False,
     ) -> _placed.Placed | None:
-        """Return where a copy of a run's memory is safest.
+        """Return the engine on which to keep a copy of a run's memory.
 
-        In another data centre, since engines of one are lost together,
-        and where few others are: it has to be able to go on at once.
+        Prefers other data centres, since engines of one tend to fail together,
+        and engines with little load, which can resume the run at once.
 
         :param overloaded: streams wait for engines.
         """
@@ -230,8 +226,8 @@
         best = self._best(engine.service, now, tried, cost, strict=True)
         if best is None or best.data_centre == engine.data_centre:
             return best
-        # Of a few drawn ones: entries that choose at the same moment would
-        # all fill the emptiest engine, and some copies find no room there.
+        # Choose among a random few: entries that choose at the same moment
+        # would otherwise all fill the emptiest engine.
         penalty = self.health_penalty(best, now)
         others = [
             backend.ident
@@ -254,10 +250,10 @@
         memory: int,
         but: str = '',
     ) -> _admissioncontrol.CapacityEstimate:
-        """Return what engines could do for one more prompt.
+        """Estimate how soon and how often engines can take one more prompt.
 
-        :param memory: tokens that it will hold in all.
-        :param but: engine that the others are to be compared with.
+        :param memory: tokens of the prompt and its output.
+        :param excluding: engine to leave out, to compare it with the others.
         """
         tokens = wanted.tokens
         token_s = self.speeds.token_s(service, wanted, now, but=but)
@@ -297,10 +293,10 @@
     def _completions_per_s(
         self, service: str, now: float, prompt_s: float, memory: int
     ) -> float:
-        """Return how many such streams an engine ends in a second.
+        """Return the rate at which one engine completes such streams.
 
-        It reads one prompt after the other, and its memory holds a few of
-        them until they have been written.
+        An engine reads one prompt at a time, and its memory holds a limited
+        number of streams until they are complete.
         """
         reads = 1 / prompt_s if prompt_s else float('inf')
         run_s = self.speeds.run_s(service, now)
@@ -330,13 +326,16 @@
             return min(shortlist or healthy, key=cost)
         if strict or not untried:
             return None
-        # All are suspect: the one that was left longest ago may be back.
+        # All are ejected: the one ejected first is the likeliest to be back.
         return min(untried, key=lambda b: b.suspect_until)
 
     def _affinity_ranks(
         self, service: str, part: str, tried: set[str]
     ) -> dict[str, int]:
-        """Return the first engines for a part (rendezvous hashing)."""
+        """Return the ranks of the engines preferred for a part of a prompt.
+
+        Uses rendezvous hashing.
+        """
         if not part:
             part = str(self.rng.random())
         idents = [b.ident for b in self.usable(service)]
