--- a/src/bulrushhold/decisions/_known.py
+++ b/src/bulrushhold/decisions/_known.py
@@ -1,7 +1,7 @@
-"""What an entry knows of all backend servers, and how it learns it.
+"""Track the state of all backend servers as seen by one entry.
 
-Each entry sees its own requests exactly and those of others only as servers
-and entries tell of them, late.
+An entry knows its own requests exactly, and those of other entries only from
+load reports, with a delay.
 """
 
 import collections
@@ -11,41 +11,39 @@
 from bulrushhold.decisions import _speeds
 from bulrushhold import messages
 
-# Weight of the newest sample in the means of latency and failures: ten
-# requests, so that a server that turns slow is known within a second.
+# Weights of the newest sample in the moving averages of latency and failures.
 LATENCY_SMOOTHING: t.Final = 0.1
 FAILURE_SMOOTHING: t.Final = 0.2
-# What speaks against an engine is counted in prompts; see _placing.
+# Penalties of engines are measured in prompts; see _placement.
 #
-# Engines of one data centre that fail within this time make the whole data
-# centre suspect, for as long: it lost power, or is cut off.
+# Engines of one data centre that fail within this time mark the whole data
+# centre as failing.
 DATA_CENTRE_FAILURE_WINDOW_S: t.Final = 1.3
 MIN_DATA_CENTRE_FAILURES: t.Final = 2
 DATA_CENTRE_PENALTY_PROMPTS: t.Final = 3.0
-# An engine that was lost looks idle, and would get the next prompts of all
-# entries as soon as it is tried again. Mostly it is down, or back under a new
-# identity before the list says so; until then it is the last choice.
+# A lost engine looks idle and would attract the next prompts of all entries,
+# although it is probably still down or has restarted under another ident. For
+# this time it is the last choice.
 PROBATION_S: t.Final = 6.0
 PROBATION_PENALTY_PROMPTS: t.Final = 2.5
-# A prompt that finds no memory waits until another stream has ended; the rest
-# is for what grows and for what others place before their news arrives.
+# A prompt that finds no free memory waits until another stream ends. The rest
+# is reserved for growing streams and for load that isn't reported yet.
 MAX_MEMORY_SHARE: t.Final = 0.85
 FULL_PENALTY_PROMPTS: t.Final = 4.0
 EJECTION_S: t.Final = 1.0
-# What other entries have running is told within 0.1 s, as long as control is
-# there; after this time it says nothing any more.
+# Load reports older than this are ignored.
 LOAD_REPORT_TTL_S: t.Final = 2.0
 MAX_CACHED_PROMPTS: t.Final = 4000
-# A part read longer ago than this has probably been evicted.
+# A prompt read longer ago than this has probably been evicted.
 CACHED_PROMPT_TTL_S: t.Final = 20.0
 
 
 def _do_nothing() -> None:
-    """Tell nobody of news."""
+    """Ignore a load change; used until a listener is set."""
 
 
 class BackendPool:
-    """All backend servers, as far as they are known here."""
+    """All known backend servers with their load and failures."""
 
     def __init__(self) -> None:
         self.on_news: t.Callable[[], None] = _do_nothing
@@ -68,7 +66,7 @@
         ] = collections.OrderedDict()
 
     def update(self, listed: list[messages.ListedBackend]) -> None:
-        """Take the newest list; what is known of those that stay is kept."""
+        """Replace the list of servers; keep the state of remaining ones."""
         backends = {}
         for item in listed:
             server = self.backends.get(item.ident)
@@ -90,7 +88,7 @@
             self.services.setdefault(backend.service, []).append(backend)
 
     def usable(self, service: str) -> list[_placed.Placed]:
-        """Return the servers that may get new requests."""
+        """Return the servers that may receive new requests."""
         return [
             backend
             for backend in self.services.get(service, ())
@@ -99,7 +97,7 @@
         ]
 
     def can_hold(self, service: str, tokens: int) -> bool:
-        """Whether a prompt fits into an engine that has nothing else."""
+        """Return whether an otherwise empty engine has memory for a prompt."""
         capacity = self.capacity.get(service, 0)
         return not capacity or tokens <= capacity
 
@@ -117,16 +115,16 @@
     def current_remote_load(
         self, backend: _placed.Placed, now: float
     ) -> messages.EngineLoad:
-        """Return what others have there, unless that is too old to tell.
+        """Return the load that other entries report, or none if outdated.
 
-        While control is away for long, an engine that was full would seem
-        so for good, and streams be held back from idle engines.
+        Without the limit, an engine that was full when reports ceased would
+        seem full for good, and streams would wait beside idle engines.
         """
         is_current = now - self.last_report_at < LOAD_REPORT_TTL_S
         return backend.others if is_current else _placed.NO_LOAD
 
     def keeps_copy(self, backend: _placed.Placed, since: float) -> bool:
-        """Whether a copy made there at ``since`` can still be there."""
+        """Return whether a copy made at ``since`` can still exist."""
         return (
             backend.ident in self.backends
             and backend.ident not in self.replaced_idents
@@ -134,12 +132,12 @@
             and backend.lost_at < since
         )
 
-    # What is learnt
+    # Recording events
 
     def failed(self, ident: str, now: float, *, gone: bool) -> None:
-        """Learn that a request failed there.
+        """Record a failed request.
 
-        :param gone: the server can't be reached or is silent.
+        :param unreachable: the server can't be reached or doesn't answer.
         """
         backend = self.backends.get(ident)
         if backend is None:
@@ -152,10 +150,10 @@
             self._eject(backend, now)
 
     def lost_near(self, ident: str, at: float, within: float) -> int:
-        """Return how many engines of one data centre were lost about then.
+        """Count the engines of a data centre lost at about the same time.
 
-        :param ident: one of them, which is counted.
-        :param within: seconds before and after.
+        :param ident: an engine of the data centre; it is counted as well.
+        :param within: seconds before and after ``at``.
         """
         engine = self.backends.get(ident)
         if engine is None:
@@ -177,7 +175,7 @@
             recent.append((now, backend.ident))
 
     def succeeded(self, ident: str, now: float, latency: float | None) -> None:
-        """Learn that a request went well, and how long it took."""
+        """Record a successful request and its latency, if measured."""
         backend = self.backends.get(ident)
         if backend is None:
             return
@@ -190,7 +188,7 @@
     def reported(
         self, ident: str, running: int, waiting: int, now: float
     ) -> None:
-        """Learn what a server told of its load."""
+        """Record the load that a server reported about itself."""
         backend = self.backends.get(ident)
         if backend is not None:
             remote_requests = running + waiting - backend.inflight
@@ -198,18 +196,18 @@
             backend.remote_requests_at = now
 
     def began(self, backend: _placed.Placed, tokens: int) -> None:
-        """Learn that a stream went to an engine, with a prompt to read."""
+        """Count a stream sent to an engine, with its prompt yet to be read."""
         backend.inflight += 1
         backend.reading += tokens
         self.on_news()
 
     def has_read(self, backend: _placed.Placed, tokens: int) -> None:
-        """Learn that an engine has read a stream's prompt."""
+        """Count a stream's prompt as read."""
         backend.reading -= tokens
         self.on_news()
 
     def ended(self, backend: _placed.Placed, tokens: int) -> None:
-        """Learn that a stream left an engine, with this unread."""
+        """Remove a stream from an engine, with its unread prompt tokens."""
         backend.inflight -= 1
         backend.reading -= tokens
         self.on_news()
@@ -220,7 +218,7 @@
         traffic: dict[str, messages.ServiceTraffic],
         now: float,
     ) -> messages.LoadReport:
-        """Return what other entries should know; losses only once."""
+        """Return this entry's load report; each lost engine is listed once."""
         lost, self.pending_losses = self.pending_losses, []
         replaced, self.pending_replaced = self.pending_replaced, []
         loads = {
@@ -249,16 +247,16 @@
                 self.backends[ident].others = load
 
     def report_again(self, report: messages.LoadReport) -> None:
-        """Put the events of a report that may not have arrived back."""
+        """Queue the events of a report that may not have been delivered."""
         self.pending_losses = report.lost + self.pending_losses
         self.pending_replaced = report.replaced + self.pending_replaced
 
     def confirm_loads(self, now: float) -> None:
-        """Learn that what others have running hasn't changed."""
+        """Record that the load of other entries hasn't changed."""
         self.last_report_at = now - self.load_age_s
 
     def apply_loads(self, summary: messages.LoadSummary, now: float) -> None:
-        """Learn what other entries see."""
+        """Apply a summary of what other entries report."""
         self.load_age_s = summary.age_s
         self.last_report_at = now - summary.age_s
         self.silent_data_centres = summary.silent
@@ -272,14 +270,14 @@
             self.replaced_idents.add(ident)
 
     def replaced(self, ident: str) -> None:
-        """Learn that another server has this one's address."""
+        """Record that another server now uses this one's address."""
         if ident not in self.replaced_idents:
             self.replaced_idents.add(ident)
             self.pending_replaced.append(ident)
             self.on_news()
 
     def read(self, part: str, ident: str, now: float) -> None:
-        """Learn that an engine has read a part of a prompt."""
+        """Record that an engine has read and cached a part of a prompt."""
         if part:
             self.cached_prompts[part] = (ident, now)
             self.cached_prompts.move_to_end(part)
