--- a/src/bulrushhold/decisions/_placed.py
+++ b/src/bulrushhold/decisions/_placed.py
@@ -1,4 +1,4 @@
-"""One backend server, and what an entry knows of its load."""
+"""The state of one backend server as seen by an entry."""
 
 import typing as t
 
@@ -6,26 +6,28 @@
 
 from bulrushhold import messages
 
-# What a server told of other entries' requests counts half after this time;
-# a plain request lasts about 0.1 s, so that more would be a mere memory.
+# Half-life of the load that a server reports: most requests counted in it
+# complete within a fraction of a second.
 REMOTE_REQUESTS_HALF_LIFE_S: t.Final = 0.5
-# Failures are forgotten with time, or a server left alone would stay so.
+# Failures decay with time; otherwise a server that gets no requests could
+# never recover.
 FAILURE_HALF_LIFE_S: t.Final = 3.0
 NO_LOAD: t.Final = messages.EngineLoad(0, 0)
 
 
 @attrs.define
 class Placed:
-    """One backend server and what this entry knows of it.
+    """A backend server with its load and recent failures.
 
     :param inflight: requests of this entry.
-    :param reading: prompt tokens of this entry's streams that have shown
-        no event yet.
-    :param memory: tokens that this entry's streams and backups hold.
-    :param foreign: requests of other entries, as of ``foreign_at``.
-    :param others: what other entries say they have running there.
-    :param lost_at: when it last died or couldn't be reached; a copy made
-        there before is gone.
+    :param reading: prompt tokens of this entry's streams that have not
+        produced an event yet.
+    :param memory: tokens held by this entry's streams and backups.
+    :param remote_requests: requests of other entries, as of
+        ``remote_requests_at``.
+    :param remote_load: load that other entries report.
+    :param lost_at: when it last crashed or became unreachable; copies made
+        there before are lost.
     """
 
     ident: str
@@ -47,13 +49,13 @@
     lost_at: float = float('-inf')
 
     def remote_requests_now(self, now: float) -> float:
-        """Return the requests of others, as far as they are still there."""
+        """Return the estimated number of other entries' current requests."""
         age = now - self.remote_requests_at
         return self.remote_requests * 0.5 ** (
             age / REMOTE_REQUESTS_HALF_LIFE_S
         )
 
     def failures_now(self, now: float) -> float:
-        """Return the share of requests that lately failed there."""
+        """Return the recent share of failed requests, between 0 and 1."""
         age = now - self.failed_at
         return self.failures * 0.5 ** (age / FAILURE_HALF_LIFE_S)
