--- a/src/bulrushhold/decisions/_speeds.py
+++ b/src/bulrushhold/decisions/_speeds.py
@@ -1,9 +1,8 @@
-"""How fast a service's engines read prompts, write events and end runs.
+"""Estimate how fast a service's engines read prompts, write and complete runs.
 
-Answers engines that nobody described: another model, other hardware, a
-batch that slows each step, a service that turns slow as a whole. Every
-entry sees few streams of its own, so that entries add up what they saw.
-Until then routes tell what operators expect of their engines.
+The estimates adapt to any model, hardware, batch size and slowdown. One entry
+sees only few streams, so the samples of all entries are added up. Until there
+are enough, the latency objectives of the routes serve as a prior.
 """
 
 import math
@@ -13,31 +12,31 @@
 
 from bulrushhold import messages
 
-# What was seen this long ago counts half: some prompts of every engine, and
-# an engine that turns slow is known within as many seconds.
+# Half-life of samples: a compromise between noise and a quick reaction to
+# engines that become slow.
 HALF_LIFE_S: t.Final = 5.0
-# Routes are made for engines that meet the aim with two prompts ahead, and
-# whose events come several times within the longest pause wanted.
+# Prior assumptions: an engine reads this many prompts within the aim, and this
+# many pauses fit into the longest pause allowed.
 PROMPTS_PER_AIM: t.Final = 3.0
 PAUSES_PER_GAP: t.Final = 5.0
-# What routes tell counts as much as so many prompts, and so many events.
+# Weights of the prior, in prompts and in pauses.
 PRIOR_WEIGHT_PROMPTS: t.Final = 0.2
 PRIOR_WEIGHT_PAUSES: t.Final = 20.0
-# Less than this is what is left of a run that was seen long ago.
+# Below this decayed number of runs the mean is unreliable.
 MIN_RUNS: t.Final = 0.05
-# One sample counts for no more than this many times what is usual: a frozen
-# entry, or an engine that died unseen, isn't a slow service.
+# Upper bound of a sample relative to the current estimate, so that a paused
+# entry or an undetected engine crash doesn't look like a slow service.
 MAX_SAMPLE_RATIO: t.Final = 4.0
 NO_SAMPLES: t.Final = messages.EngineSpeed()
 
 
 @attrs.frozen
 class Wanted:
-    """What a stream's route expects of engines.
+    """Latency objective of a stream, as its route defines it.
 
-    :param tokens: of the stream's prompt.
-    :param aim_s: until the first event.
-    :param gap_s: longest pause wanted between events.
+    :param tokens: length of the stream's prompt.
+    :param aim_s: time to the first event.
+    :param gap_s: longest pause between events.
     """
 
     tokens: int
@@ -47,9 +46,9 @@
 
 @attrs.define
 class Pauses:
-    """Pauses between events of one run, until they are learnt.
+    """Sums of the pauses between events of one run.
 
-    :param usual_s: longest pause that is nothing unusual so far.
+    :param long_pause_s: upper end of the usual pauses.
     """
 
     long_pause_s: float
@@ -58,7 +57,7 @@
     squares: float = 0.0
 
     def add(self, seconds: float) -> None:
-        """Take in one pause."""
+        """Add one pause."""
         seconds = min(seconds, MAX_SAMPLE_RATIO * self.long_pause_s)
         self.count += 1
         self.seconds += seconds
@@ -73,9 +72,9 @@
 
 @attrs.define(eq=False)
 class Reading:
-    """A prompt that an engine reads now.
+    """A prompt that an engine is reading.
 
-    :param tokens: of it and of those ahead of it.
+    :param tokens: of this prompt and of those queued before it.
     """
 
     service: str
@@ -85,25 +84,25 @@
 
 
 class EngineSpeeds:
-    """What this entry and others saw of each service's engines."""
+    """Speed estimates per service, from local and remote samples."""
 
     def __init__(self) -> None:
         self.local: dict[str, _LocalSamples] = {}
         self.remote: dict[str, messages.EngineSpeed] = {}
         self.pending_reads: set[Reading] = set()
 
-    # What is learnt
+    # Recording samples
 
     def reads(
         self, service: str, engine: str, tokens: int, now: float
     ) -> Reading:
-        """Learn that a prompt was sent, with so many tokens to read first."""
+        """Record that a prompt was sent, with ``tokens`` to be read."""
         reading = Reading(service, engine, max(1, tokens), now)
         self.pending_reads.add(reading)
         return reading
 
     def read(self, reading: Reading, wanted: Wanted, now: float) -> None:
-        """Learn that the first event came."""
+        """Record that a prompt was read: its first event has arrived."""
         self.forget(reading)
         token_s = self.token_s(reading.service, wanted, now)
         max_s = MAX_SAMPLE_RATIO * token_s * reading.tokens
@@ -115,11 +114,11 @@
         )
 
     def forget(self, reading: Reading) -> None:
-        """Learn that nobody waits for a prompt any more."""
+        """Discard a pending read whose result is no longer awaited."""
         self.pending_reads.discard(reading)
 
     def paused(self, service: str, pauses: Pauses, now: float) -> None:
-        """Learn how far apart events came from an engine."""
+        """Record the pauses between events of a run."""
         sample = messages.EngineSpeed(
             pauses=pauses.count,
             pause_s=pauses.seconds,
@@ -128,32 +127,32 @@
         self._add(service, sample, now)
 
     def ran(self, service: str, seconds: float, now: float) -> None:
-        """Learn how long an engine took from a prompt to its last event."""
+        """Record the time from sending a prompt to the last event."""
         self._add(service, messages.EngineSpeed(runs=1, run_s=seconds), now)
 
     def apply_loads(self, remote: dict[str, messages.EngineSpeed]) -> None:
-        """Learn what all other entries saw."""
+        """Replace the samples of all other entries."""
         self.remote = remote
 
     def snapshot(self, now: float) -> dict[str, messages.EngineSpeed]:
-        """Return what this entry saw, for others."""
+        """Return the decayed samples of this entry by service."""
         return {
             service: self._local_samples(service, now)
             for service in self.local
         }
 
-    # What follows from it
+    # Estimates
 
     def token_s(
         self, service: str, wanted: Wanted, now: float, *, but: str = ''
     ) -> float:
         """Return the seconds that an engine needs to read a token.
 
-        Prompts that wait for longer than that count as they stand now: when
-        all engines turn slow, there is nothing to be had elsewhere.
+        Pending reads that already take longer than estimated are included, so
+        that a slowdown of all engines shows before any read completes.
 
-        :param but: engine whose waiting prompts don't count, since it is to
-            be compared with the others.
+        :param excluding: engine whose pending reads are left out, to compare
+            it with the others.
         """
         samples = self._combined_samples(service, now)
         tokens = samples.tokens + PRIOR_WEIGHT_PROMPTS * max(1, wanted.tokens)
@@ -172,7 +171,7 @@
     def pause_s(
         self, service: str, wanted: Wanted, now: float, deviations: float
     ) -> float:
-        """Return a pause between events, as far above their mean as told.
+        """Return the mean pause between events plus some deviations.
 
         :param deviations: standard deviations above the mean.
         """
@@ -186,7 +185,7 @@
         return mean + deviations * math.sqrt(max(0.0, square - mean * mean))
 
     def run_s(self, service: str, now: float) -> float | None:
-        """Return how long a run takes at an engine; ``None``: unknown."""
+        """Return the mean duration of a run, or ``None`` if unknown."""
         samples = self._combined_samples(service, now)
         return (
             samples.run_s / samples.runs if samples.runs > MIN_RUNS else None
@@ -220,7 +219,7 @@
     added: messages.EngineSpeed,
     weight: float = 1.0,
 ) -> messages.EngineSpeed:
-    """Return the sums of one, and of the other so many times."""
+    """Return the sum of two sets of samples, the second one weighted."""
     return messages.EngineSpeed(
         total.tokens + weight * added.tokens,
         total.read_s + weight * added.read_s,
