--- a/src/bulrushhold/decisions/_patience.py
+++ b/src/bulrushhold/decisions/_patience.py
@@ -1,12 +1,11 @@
-"""How long a stream waits for its engine before it asks, and leaves.
-
-A dead engine is left at once. A living one is busy, mostly with others'
-prompts, and leaving it has a price: going on elsewhere takes a while, and
-makes other streams wait there. So it is left only once the stream has
-waited for longer than going on elsewhere is expected to take, twice over:
-the wait is then at most that of an oracle times a small factor (ski rental;
-Karlin et al., Competitive snoopy caching, 1988). Where all engines are slow
-the price grows with them, so that moves don't feed on each other.
+"""Stall timeouts: when to probe a silent engine and when to abandon it.
+
+An engine that fails a probe is abandoned at once. One that answers is merely
+busy, and resuming the stream elsewhere costs time and delays other streams.
+So a stream waits up to twice the expected cost of resuming it, which bounds
+the total wait to a constant factor of the optimum (ski rental problem; Karlin
+et al., Competitive snoopy caching, 1988). If all engines are slow, the
+timeouts grow with them, so that failovers don't add to an overload.
 """
 
 import typing as t
@@ -14,20 +13,20 @@
 import attrs
 
 MAX_WAIT_RATIO: t.Final = 2.0
-# Of the longest pause wanted; a copy is taken into use within the rest.
+# Share of the longest pause allowed; the rest is for activating the copy.
 FAILOVER_GAP_SHARE: t.Final = 0.85
-# Below this, asking costs more than it tells.
+# Probing more often costs more than it detects.
 MIN_PROBE_S: t.Final = 0.05
 
 
 @attrs.frozen
 class Patience:
-    """Bounds for one silent engine, in seconds.
+    """Stall timeouts for one engine, in seconds.
 
-    :param common_pause_s: between its events, mostly.
-    :param usual_pause_s: between its events, nearly always.
-    :param gap_s: longest pause that is wanted there.
-    :param asking_s: until an engine that gives no answer is given up.
+    :param typical_pause_s: upper end of most pauses between its events.
+    :param long_pause_s: upper end of nearly all pauses between its events.
+    :param gap_s: longest pause allowed between events.
+    :param probe_timeout_s: time after which an unanswered probe has failed.
     """
 
     common_pause_s: float
@@ -37,11 +36,11 @@
 
     @property
     def ask_after_s(self) -> float:
-        """Silence after which the engine is asked whether it lives.
+        """Silence after which the engine is probed.
 
-        Early enough for the next event to come from elsewhere, which takes as
-        long as a usual pause, within the longest pause that is wanted; but
-        not at each pause, which would keep engines busy with answers.
+        Early enough for the next event to come from another engine within
+        the longest pause allowed, but not at every pause, which would keep
+        engines busy with probes.
         """
         latest = self.gap_s - self.asking_s - self.usual_pause_s
         return max(
@@ -50,24 +49,24 @@
         )
 
     def leave_with_copy_s(self) -> float:
-        """Silence after which a copy elsewhere is taken into use."""
+        """Return the silence after which the stream fails over to its copy."""
         return max(
             MAX_WAIT_RATIO * self.usual_pause_s,
             FAILOVER_GAP_SHARE * self.gap_s,
         )
 
     def leave_without_copy_s(self, elsewhere_s: float) -> float:
-        """Silence after which the prompt is read again elsewhere.
+        """Return the silence after which another engine reads the prompt.
 
-        :param elsewhere_s: until another engine has read it.
+        :param elsewhere_s: time until another engine would have read it.
         """
         return max(self.leave_with_copy_s(), MAX_WAIT_RATIO * elsewhere_s)
 
 
 def leave_unread_s(here_s: float, elsewhere_s: float) -> float:
-    """Return the wait for a first event after which an engine is left.
+    """Return the timeout of the first event of a stream.
 
-    :param here_s: expected when the prompt was sent there.
-    :param elsewhere_s: until another engine has read it.
+    :param here_s: time expected when the prompt was sent.
+    :param elsewhere_s: time until another engine would have read it.
     """
     return MAX_WAIT_RATIO * max(here_s, elsewhere_s)
