--- a/src/bulrushhold/decisions/_copies.py
+++ b/src/bulrushhold/decisions/_copies.py
@@ -1,4 +1,4 @@
-"""What an entry keeps for others: pointers and transcript copies."""
+"""Pointers and transcript copies that an entry stores for other entries."""
 
 import typing as t
 
@@ -11,11 +11,11 @@
 
 @attrs.define
 class Pointer:
-    """Who serves a key, as one of its pointer homes knows it.
+    """Pointer from a key to the entry that serves it.
 
-    :param since: epoch that began the newest text.
-    :param sure: the home had run long enough to know an earlier use of
-        the key, or saw the text begin.
+    :param since: epoch in which the current text began.
+    :param authoritative: this home has run long enough to know of any
+        earlier use of the key, or was told when the text began.
     """
 
     epoch: int
@@ -28,10 +28,10 @@
 
 @attrs.define
 class TranscriptCopy:
-    """A transcript kept for another entry.
+    """A transcript stored for another entry.
 
-    :param fence: least epoch that may write.
-    :param written: epoch that wrote the tokens.
+    :param fence: lowest epoch that may write; the fencing token.
+    :param writer_epoch: epoch that wrote the tokens.
     """
 
     fence: int
@@ -43,7 +43,7 @@
 
 
 class CopyStore:
-    """Pointers and copies, dropped ``keep_s`` after their last use.
+    """Store of pointers and copies, which expire ``keep_s`` after use.
 
     :param now: monotonic seconds.
     """
@@ -55,20 +55,20 @@
         self.copies: dict[str, TranscriptCopy] = {}
 
     def homes_changed(self, now: float) -> None:
-        """Learn that keys may have come here from other homes.
+        """Record that this entry may now be the home of other keys.
 
-        Until every one of them has been refreshed or forgotten, not to
-        know a key says nothing about it.
+        Until they have been refreshed or have expired, a missing key doesn't
+        prove that it was never used.
         """
         self.authoritative_from = now + self.keep_s
 
     def take_pointer(
         self, take: messages.PointerTake, now: float
     ) -> messages.PointerState:
-        """Register the asking entry, unless a higher epoch is known."""
+        """Register the asking entry unless its epoch is outdated."""
         pointer = self.pointers.get(take.key)
         if pointer is None:
-            # A home that has just been started may have forgotten the key.
+            # A home that has just started may lack existing keys.
             authoritative = now >= self.authoritative_from
             self.pointers[take.key] = Pointer(
                 take.epoch,
@@ -104,8 +104,8 @@
             pointer.since = take.epoch
             pointer.copies = take.copies
         else:
-            # The former copies stay reachable until the new ones hold the
-            # whole transcript: the new entry may die before that.
+            # The former copies stay listed until the new ones are complete, in
+            # case the new entry fails before that.
             merged = dict.fromkeys(take.copies + former_copies)
             pointer.copies = list(merged)[:MAX_COPY_ADDRESSES]
         return messages.PointerState(
@@ -115,7 +115,7 @@
     def append_all(
         self, batch: messages.CopyBatch, now: float
     ) -> messages.CopyBatchAck:
-        """Take a batch, and name the appends that weren't stored."""
+        """Apply a batch and return the appends that weren't stored."""
         rejected = []
         for number, append in enumerate(batch.appends):
             ok, length = self.append(append, now)
@@ -126,9 +126,10 @@
     def append(
         self, append: messages.CopyAppend, now: float
     ) -> tuple[bool, int]:
-        """Add tokens to a copy, or tell from where to send again.
+        """Append tokens to a copy.
 
-        :returns: whether the sender isn't fenced, and the tokens held.
+        :returns: whether the writer's epoch is still allowed, and the number
+            of tokens stored; the writer resends from there.
         """
         copy = self.copies.get(append.key)
         if copy is None:
@@ -139,8 +140,8 @@
         copy.fence = append.epoch
         copy.used_at = now
         if copy.writer_epoch != append.epoch:
-            # Tokens of a former entry: only a whole transcript replaces
-            # them, else a gap could be filled with another text.
+            # Tokens of a former epoch are only replaced as a whole, so that
+            # two different texts are never mixed.
             if append.offset != 0:
                 return True, 0
             copy.tokens = []
@@ -153,10 +154,10 @@
         return True, len(copy.tokens)
 
     def take(self, take: messages.CopyTake, now: float) -> messages.CopyState:
-        """Hand a copy over and fence the entry that wrote it.
+        """Return a copy and fence the entry that wrote it.
 
-        The fence is kept also where there is no copy yet: an append of
-        the former entry that is still under way must not create one.
+        A missing copy is created empty to hold the fence: a late append of
+        the former entry must not create one.
         """
         copy = self.copies.get(take.key)
         if copy is None:
@@ -176,7 +177,7 @@
         )
 
     def expire(self, now: float) -> None:
-        """Drop what was not used for ``keep_s``."""
+        """Remove everything unused for ``keep_s``."""
         oldest = now - self.keep_s
         for store in (self.pointers, self.copies):
             old = [k for k, item in store.items() if item.used_at < oldest]
