--- a/src/bulrushhold/decisions/_loadreports.py
+++ b/src/bulrushhold/decisions/_loadreports.py
@@ -1,9 +1,9 @@
-"""Adds up load reports, by entry within one control process and by process.
+"""Aggregate load reports by control process, and of all processes.
 
-An entry alone learns of an engine's loss only from its own streams, and of
-the prompts that others send there not at all. Entries report to a control
-process of their data centre; these exchange sums, so that traffic between
-data centres grows with data centres and engines, not with entries.
+An entry alone sees only its own streams and the failures among them. Entries
+report to a control process of their data centre, and the processes exchange
+sums, so that traffic between data centres doesn't grow with the number of
+entries.
 """
 
 import collections
@@ -14,14 +14,14 @@
 from bulrushhold.decisions import _loadtotals
 from bulrushhold import messages
 
-# Events reach processes that were out of touch for a moment; an engine that
-# was lost longer ago has been restarted or taken off the list.
+# Events are kept for processes that were briefly disconnected. An older loss
+# no longer matters: the engine has restarted or left the list.
 EVENT_TTL_S: t.Final = 2.0
 # Several sums in a row are missing.
 SUM_MISSING_AFTER_S: t.Final = 0.8
-# A sum that is older says nothing about the load of engines.
+# An older sum says nothing about the current load of engines.
 SUM_TTL_S: t.Final = 2.0
-# After this time its entries report elsewhere.
+# By then the entries of a lost process report to another one.
 NODE_TTL_S: t.Final = 10.0
 
 
@@ -42,10 +42,10 @@
 
 @attrs.define
 class _Node:
-    """What another control process has sent.
+    """The state of the exchange with another control process.
 
-    :param received: number of its newest sum that has arrived.
-    :param acknowledged: number of the newest sum that it has from here.
+    :param received: number of its newest sum received here.
+    :param acknowledged: number of the newest sum it has received from here.
     """
 
     data_centre: str
@@ -57,15 +57,15 @@
     sum: messages.LoadReport | None = None
 
     def forget(self) -> None:
-        """Drop a sum that says nothing any more; the next one is whole."""
+        """Drop an outdated sum; the next one to be accepted is complete."""
         self.sum = None
         self.engines = {}
         self.received = 0
 
     def update(self, load: messages.NodeLoad) -> bool:
-        """Take a newer sum; return whether it could be taken."""
+        """Apply a sum; return ``False`` if an earlier one is missing."""
         if load.since > self.received:
-            # One that was lost lies between; the next ones start earlier.
+            # The sender resumes from the last acknowledged sum.
             return False
         engines = {} if not load.since else dict(self.engines)
         for ident, engine_load in load.sum.engines.items():
@@ -80,7 +80,7 @@
 
 
 class LoadAggregator:
-    """The newest reports of all entries, those of others as sums.
+    """Aggregate of the newest reports of all entries.
 
     :param node: peer address of this process.
     :param incarnation: differs between starts of this process.
@@ -98,14 +98,15 @@
         self.events: collections.deque[_Event] = collections.deque()
         self.local = _loadtotals.LoadTotal()
         self.total = _loadtotals.LoadTotal()
-        # Entries whose changes cancel each other out see different changes.
+        # Changes of two entries may cancel out in the total, but not in the
+        # summary for either of them, which excludes its own load.
         self.changed_engines: set[str] = set()
         self.summed_number = -1
 
-    # What arrives
+    # Receiving
 
     def take(self, report: messages.LoadReport, now: float) -> bool:
-        """Take an entry's report; return whether it holds new events."""
+        """Add an entry's report; return whether it contains new events."""
         self.number += 1
         known = self.reports.get(report.entry)
         self.reports[report.entry] = report
@@ -118,12 +119,12 @@
         return self._take_events(report, now, local=True)
 
     def forget(self, entry: str) -> None:
-        """Drop the report of an entry that is gone."""
+        """Remove the report of an entry that has left."""
         if self.reports.pop(entry, None):
             self.number += 1
 
     def take_node(self, load: messages.NodeLoad, now: float) -> bool:
-        """Take another process's sum; return whether it holds new events."""
+        """Add another process's sum; return whether it contains new events."""
         node = self.nodes.get(load.node)
         if node is None or node.incarnation != load.incarnation:
             node = _Node(load.data_centre, load.incarnation, now)
@@ -138,7 +139,7 @@
         return self._take_events(load.sum, now, local=False)
 
     def expire(self, now: float) -> bool:
-        """Drop old events and sums; return whether any sum was dropped."""
+        """Remove old events and sums; return whether any sum was removed."""
         while self.events and now - self.events[0].at > EVENT_TTL_S:
             self.events.popleft()
         for address, node in list(self.nodes.items()):
@@ -183,12 +184,12 @@
         self.events.extend(new_events)
         return bool(new_events)
 
-    # What is published
+    # Publishing
 
     def others(
         self, entry: str, since: int, now: float = 0.0
     ) -> messages.LoadSummary:
-        """Return what all other entries have running.
+        """Return the load of all entries except one, as a summary.
 
         :param since: number of the summary that the entry has; 0 for none.
         """
@@ -254,7 +255,7 @@
         )
 
     def live_nodes(self, now: float) -> list[str]:
-        """Return the addresses of processes that have lately sent sums."""
+        """Return the addresses of processes whose sums arrive."""
         return [a for a, node in self.nodes.items() if _is_live(node, now)]
 
     def silent(self, now: float) -> list[str]:
@@ -268,7 +269,7 @@
         return sorted(known - live - {self.data_centre})
 
     def age_s(self, now: float) -> float:
-        """Return the age of the oldest sum that isn't missing, in seconds."""
+        """Return the age in seconds of the oldest sum that still counts."""
         ages = [
             now - node.at
             for node in self.nodes.values()
@@ -277,7 +278,7 @@
         return round(max(ages, default=0.0), 3)
 
     def _update_sums(self) -> None:
-        """Add up all reports and sums, once for all that ask."""
+        """Recompute the sums, once for all readers."""
         if self.summed_number == self.number:
             return
         self.summed_number = self.number
