--- a/src/bulrushhold/decisions/_loadtotals.py
+++ b/src/bulrushhold/decisions/_loadtotals.py
@@ -1,4 +1,4 @@
-"""Sums of load reports, and what changed in them since some time."""
+"""Sums of load reports, and the changes between two versions of them."""
 
 import collections.abc as cabc
 import typing as t
@@ -6,14 +6,14 @@
 from bulrushhold.decisions import _speeds
 from bulrushhold import messages
 
-# Changes of engines that are gone, for entries that were out of touch.
+# Upper bound of recorded changes; older ones of removed engines are dropped.
 MAX_CHANGES: t.Final = 2000
 NO_LOAD: t.Final = messages.EngineLoad(0, 0)
 NO_TRAFFIC: t.Final = messages.ServiceTraffic(0, 0)
 
 
 class LoadTotal:
-    """A sum of reports, without their events.
+    """Sum of load reports, without their events.
 
     :ivar changed: by engine, number of the sum in which its load changed.
     """
@@ -26,7 +26,7 @@
         self.deltas: dict[int, dict[str, messages.EngineLoad]] = {}
 
     def copy(self) -> 'LoadTotal':
-        """Return a sum of its own."""
+        """Return an independent copy of the figures, without changes."""
         total = LoadTotal()
         total.engines = dict(self.engines)
         total.traffic = dict(self.traffic)
@@ -39,9 +39,9 @@
         number: int,
         also_changed: cabc.Iterable[str] = (),
     ) -> None:
-        """Take newer figures, and note which engines they change.
+        """Replace the figures and record which engines changed.
 
-        :param touched: engines that count as changed in any case.
+        :param also_changed: engines recorded as changed in any case.
         """
         self.changed.update(dict.fromkeys(also_changed, number))
         for ident in self.engines.keys() | new.engines.keys():
@@ -62,9 +62,10 @@
         }
 
     def changed_since(self, number: int) -> dict[str, messages.EngineLoad]:
-        """Return engines whose load changed; zero where nothing is left.
+        """Return the load of changed engines; zero for removed ones.
 
-        Kept until the next change, since most entries have the same one.
+        The result is cached until the next change: most entries ask for the
+        same one.
         """
         if number not in self.deltas:
             self.deltas[number] = {
@@ -75,7 +76,7 @@
         return self.deltas[number]
 
     def add(self, report: messages.LoadReport, sign: int) -> None:
-        """Add a report, or take it off."""
+        """Add a report, or subtract it if ``sign`` is -1."""
         _add_engines(self.engines, report.engines, sign)
         add_traffic(self.traffic, report.traffic, sign)
         add_speeds(self.speeds, report.speeds, sign)
@@ -85,7 +86,7 @@
     engines: dict[str, messages.EngineLoad],
     own: dict[str, messages.EngineLoad],
 ) -> dict[str, messages.EngineLoad]:
-    """Return loads less those of one entry, for the engines that are there."""
+    """Return loads minus one entry's own, limited to the engines given."""
     own_loads = {ident: one for ident, one in own.items() if ident in engines}
     if not own_loads:
         return engines
@@ -113,7 +114,7 @@
     more: dict[str, messages.ServiceTraffic],
     sign: int,
 ) -> None:
-    """Add requests by service to totals, or take them off."""
+    """Add requests by service to totals, or subtract them."""
     for service, one in more.items():
         known = totals.get(service, NO_TRAFFIC)
         totals[service] = messages.ServiceTraffic(
@@ -128,7 +129,7 @@
     more: dict[str, messages.EngineSpeed],
     sign: int,
 ) -> None:
-    """Add speeds by service to totals, or take them off."""
+    """Add speed samples by service to totals, or subtract them."""
     for service, speed in more.items():
         known = totals.get(service, _speeds.NO_SAMPLES)
         totals[service] = _speeds.add(known, speed, sign)
