--- a/src/bulrushhold/decisions/_admissioncontrol.py
+++ b/src/bulrushhold/decisions/_admissioncontrol.py
@@ -1,13 +1,11 @@
-"""Whether a new stream goes to an engine now, waits here, or is refused.
-
-Answers the load of a crowd: several times the usual streams for some
-seconds, while a part of the engines is gone. Engines queue what they get,
-in order. Sent there at once, all streams wait as long as the first of the
-crowd, also those that come when it is over. So an engine gets only as many
-prompts as it shows an event of in time. What is late already waits here, and
-goes where it delays nobody else, or after half of the time that its caller
-waits; what would wait for longer is refused at once, and told when to come
-back.
+"""Admission control: whether a new stream is placed, waits or is refused.
+
+Engines queue prompts in order of arrival. Under overload, e.g. when engines
+are lost, an unlimited queue would delay all streams, including those that
+arrive after the overload. So an engine only gets prompts that can meet their
+aim. A late stream waits at the entry for an idle engine; if few engines can
+meet the aim, it takes one only after half of its maximum wait. A stream that
+would wait for longer is refused at once with a time to retry after.
 """
 
 import collections
@@ -16,32 +14,29 @@
 
 import attrs
 
-# Of the time that a caller waits without an event, as a multiple of the aim
-# for the first one: callers leave after four, and what is left is for reading
-# the prompt at an idle engine.
+# Maximum wait for an engine, as a multiple of the aim for the first event.
+# Leaves time to read the prompt before callers time out at four times the aim.
 MAX_WAIT_AIMS: t.Final = 3.4
-# Half of the prompts take longer than their mean: as many times as long is
-# allowed for.
+# Safety margin on the expected time to the first event, which is a mean.
 FIRST_EVENT_MARGIN: t.Final = 1.3
-# For how long after a stream had to wait the crowd counts as still there: a
-# stream that went to an engine then has its prompt read by that time.
+# Time for which the overload counts as lasting after a stream had to wait.
 OVERLOAD_S: t.Final = 5.0
-# Callers come back at once otherwise, and only once: not before a part of
-# the queue is gone, and not after they have left.
+# Bounds of Retry-After: enough for the queue to shorten, and soon enough for
+# callers that retry only once.
 MIN_RETRY_AFTER_S: t.Final = 1.0
 MAX_RETRY_AFTER_S: t.Final = 8.0
-# How many wait elsewhere is told with each change; older news is no news.
+# Reported queue lengths older than this are ignored.
 LOAD_REPORT_TTL_S: t.Final = 2.0
 
 
-# How often a stream that waits looks for an engine.
+# Interval at which a waiting stream looks for an engine.
 ADMISSION_CHECK_S: t.Final = 0.05
-# Until other entries know where a stream went.
+# Time until other entries know of a placement.
 LOAD_REPORT_DELAY_S: t.Final = 0.2
 
 
 class AdmissionDecision(enum.Enum):
-    """What becomes of a stream now."""
+    """What to do with a stream now."""
 
     PLACE = 'place'
     WAIT = 'wait'
@@ -50,18 +45,18 @@
 
 @attrs.frozen
 class CapacityEstimate:
-    """What engines could do for one more prompt.
-
-    :param first_s: until its first event, at the best engine with room;
-        infinite where none has room.
-    :param idle: an engine with room has nothing to read, or so little that
-        the next prompt is in time there as well.
-    :param engines: how many take part.
-    :param per_s: streams that they end together in a second.
+    """How soon and how often engines can take one more prompt.
+
+    :param first_s: time to its first event at the best engine with free
+        memory; infinite if there is none.
+    :param idle: an engine with free memory has nothing to read, or so little
+        that the next prompt can meet its aim there, too.
+    :param engines: number of healthy engines.
+    :param per_s: streams that they complete per second, together.
     :param write_s: least time from its first event to its last one.
-    :param headroom: more than one engine could show an event in time, or most
-        have no room, so that those that have waited longest get what is left.
-    :param openings: engines that could take one more prompt in time.
+    :param headroom: several engines can meet the aim, or most have no free
+        memory; late streams may then use an idle engine at once.
+    :param ready_engines: engines that can meet the aim of one more prompt.
     """
 
     first_s: float
@@ -74,7 +69,7 @@
 
 
 class AdmissionController:
-    """Lets streams of this entry to engines, and counts those that wait."""
+    """Admits streams of this entry to engines and counts the waiting ones."""
 
     def __init__(self) -> None:
         self.waiting: collections.Counter[str] = collections.Counter()
@@ -83,16 +78,16 @@
         self.last_wait_at = float('-inf')
 
     def apply_loads(self, remote_waiting: dict[str, int], now: float) -> None:
-        """Learn how many streams wait at all other entries, by service."""
+        """Replace the numbers of streams that wait at other entries."""
         self.remote_waiting = remote_waiting
         self.last_report_at = now
 
     def held(self, now: float) -> None:
-        """Learn that a stream has to wait."""
+        """Record that a stream has to wait."""
         self.last_wait_at = now
 
     def overloaded(self, now: float) -> bool:
-        """Whether streams have had to wait lately."""
+        """Return whether streams have recently had to wait."""
         return now - self.last_wait_at < OVERLOAD_S
 
     def decide(
@@ -106,17 +101,17 @@
         arrives: bool = False,
         begun: bool = False,
     ) -> AdmissionDecision:
-        """Return what becomes of a stream that has waited for so long.
-
-        :param left_s: until its time is over.
-        :param aim_s: from its arrival to its first event.
-        :param queue_s: until all that wait are placed.
-        :param arrives: it is looked at for the first time.
-        :param begun: its caller has a part of it, and so has waited for too
-            long already; how much there is to come isn't known.
+        """Decide on a stream that has waited for ``waited_s``.
+
+        :param remaining_s: time to the stream's deadline.
+        :param aim_s: target for the time from arrival to first event.
+        :param queue_s: time until all waiting streams are placed.
+        :param first_check: the stream has just arrived.
+        :param begun: the caller has received some events; such a stream is
+            late already, and its remaining length is unknown.
         """
         if not estimate.engines or not aim_s:
-            # There is nothing to wait for that could be foreseen.
+            # No healthy engine, or no aim to compare the wait with.
             return AdmissionDecision.PLACE
         total_s = estimate.first_s + estimate.write_s
         if not begun and left_s < total_s < float('inf'):
@@ -142,11 +137,11 @@
         entries: int,
         now: float,
     ) -> float:
-        """Return seconds until all that wait at all entries are placed.
+        """Return the seconds until all streams waiting now are placed.
 
-        :param entries: that send to the same engines. Callers draw entries
-            at random, so that as many wait at others where nothing is heard
-            of these.
+        :param entries: number of entries that use the same engines. Without
+            recent reports, each is assumed to have as many waiting streams
+            as this one.
         """
         waiting = self._total_waiting(service, entries, now)
         if not waiting:
@@ -163,14 +158,14 @@
         *,
         begun: bool = False,
     ) -> bool:
-        """Whether one of the streams that wait uses an opening now.
+        """Return whether a waiting stream may use a ready engine now.
 
-        All that wait see an engine come back at the same moment. Each goes
-        by chance, so that no more go than engines can take until all
-        entries have heard of it. One whose caller has a part of it goes
-        first: its pause grows.
+        All waiting streams see a free engine at the same moment. Each is
+        admitted with a probability that keeps their expected number within
+        the engines' capacity until all entries know of the placements. A
+        stream that has begun is always admitted, since its pause grows.
 
-        :param draw: from 0 to 1, evenly.
+        :param draw: uniformly distributed random number from 0 to 1.
         """
         if begun:
             return True
@@ -191,5 +186,5 @@
 
 
 def retry_after_s(queue_s: float) -> float:
-    """Return when a refused caller is to come back, in seconds."""
+    """Return the value of Retry-After for a refused caller, in seconds."""
     return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, queue_s))
