--- a/src/bulrushhold/decisions/_repeats.py
+++ b/src/bulrushhold/decisions/_repeats.py
@@ -1,15 +1,13 @@
-"""A budget of repeated requests, shared by all entries.
+"""Retry budget per service, shared by all entries.
 
-While backend servers fail, each repeat adds to the load of those that
-are left. Each entry may always use its own part of what all may send: a
-share of its own requests, which add up over entries by themselves, and an
+While backend servers fail, retries add to the load of the remaining ones.
+Each entry may always use its local budget: a share of its own requests and an
 equal part of a fixed allowance.
 
-That part is small where there are many entries: with 67 of them, four
-repeats in ten seconds, too few for the streams of one lost data centre
-though all together use a fifth of the budget. So entries also hear of each
-other's traffic, and while all together are far from the bound, each may
-go beyond its part.
+With many entries the local budgets are too small for the loss of a data
+centre, although most of the shared budget is unused. So entries also exchange
+their traffic, and may exceed the local budget while the total is well below
+the limit.
 """
 
 import collections
@@ -17,26 +15,24 @@
 
 from bulrushhold import messages
 
-# Clocks and windows of entries differ a little, and requests that clients
-# send to an entry that is just being lost count nowhere.
+# Allows for clock differences and for requests counted by a failed entry.
 LOCAL_SHARE_MARGIN: t.Final = 0.8
-# What others sent is known 0.1 s late. A data centre's loss makes all entries
-# repeat at once what ran there: at 90 engines and 200 streams some 70 repeats,
-# a fifth of the budget, before their news arrives.
+# Share of the shared budget up to which an entry may exceed its local one. The
+# rest covers retries that other entries haven't reported yet.
 SHARED_LIMIT: t.Final = 0.7
-# A stream that was lost midway can't be refused any more: its caller would
-# have to ask for it all again. One that has shown nothing is refused as not
-# run instead, and comes back as a request of its own.
+# A started stream can't be refused without losing what its caller received,
+# while one that hasn't started is refused as not run and can be retried by the
+# caller.
 SHARED_LIMIT_STARTED: t.Final = 0.9
 LOAD_REPORT_TTL_S: t.Final = 2.0
 
 
 class RepeatBudget:
-    """Repeats per service over a sliding window.
+    """Retries per service in a sliding window.
 
-    :param ratio: repeats for each first sending.
-    :param allowance: repeats in a window besides, of all entries.
-    :param window_s: seconds.
+    :param ratio: retries per request.
+    :param allowance: additional retries per window, for all entries together.
+    :param window_s: length of the window in seconds.
     """
 
     def __init__(
@@ -52,13 +48,13 @@
         self.repeats: dict[str, collections.deque[float]] = {}
 
     def first(self, service: str, now: float) -> None:
-        """Count a request that a caller sent for the service."""
+        """Count a request received from a caller."""
         self._recent(self.firsts, service, now).append(now)
 
     def take(self, service: str, now: float, *, begun: bool = False) -> bool:
-        """Whether one more repeat may be sent; it is then counted.
+        """Return whether a retry is allowed, and count it if so.
 
-        :param begun: the caller has a part of the answer.
+        :param begun: the caller has received a part of the answer.
         """
         firsts = len(self._recent(self.firsts, service, now))
         repeats = self._recent(self.repeats, service, now)
@@ -92,12 +88,12 @@
     def apply_loads(
         self, remote_traffic: dict[str, messages.ServiceTraffic], now: float
     ) -> None:
-        """Learn what all other entries sent within the window."""
+        """Replace the traffic of all other entries within the window."""
         self.remote_traffic = remote_traffic
         self.last_report_at = now
 
     def traffic(self, now: float) -> dict[str, messages.ServiceTraffic]:
-        """Return what this entry sent within the window, by service."""
+        """Return this entry's traffic within the window, by service."""
         return {
             service: messages.ServiceTraffic(
                 len(self._recent(self.firsts, service, now)),
