--- a/src/bulrushhold/decisions/_retries.py
+++ b/src/bulrushhold/decisions/_retries.py
@@ -1,4 +1,4 @@
-"""A budget that keeps retries from multiplying an overload."""
+"""Retry budget per client account."""
 
 import typing as t
 
@@ -10,11 +10,10 @@
 
 @attrs.define
 class RetryBudget:
-    """Further attempts that each client account may still make.
+    """Retries that each client account may still make.
 
-    Every first attempt earns a share of a further one, up to a burst.
-    When engines fail all over, each account's retries thus add a fifth
-    to its load at most, instead of a multiple.
+    Each first attempt earns a fraction of a retry, up to a burst. If all
+    engines fail, retries thus add only that fraction to an account's load.
     """
 
     ratio: float = RETRY_RATIO
@@ -22,13 +21,13 @@
     remaining: dict[str, float] = attrs.field(factory=dict)
 
     def allows(self, account: str, former_attempts: int) -> bool:
-        """Whether a request may make another attempt."""
+        """Return whether a request may make another attempt."""
         if former_attempts == 0:
             return True
         return self.remaining.get(account, self.burst) >= 1
 
     def count(self, account: str, number: int) -> None:
-        """Count attempt ``number`` of a request, from 1."""
+        """Count attempt ``number`` of a request, starting at 1."""
         change = self.ratio if number == 1 else -1.0
         remaining = self.remaining.get(account, self.burst) + change
         self.remaining[account] = max(0.0, min(self.burst, remaining))
