--- a/src/bulrushhold/decisions/_crashers.py
+++ b/src/bulrushhold/decisions/_crashers.py
@@ -1,10 +1,10 @@
-"""Which opaque request kills the engines that it runs on.
+"""Detect poison requests: opaque requests that crash engines.
 
-Such a request comes again, by its caller or by going on elsewhere, and each
-time an engine and all streams on it are lost. Innocent requests lose engines
-too: when a data centre loses power, and when they run beside a crasher. So
-only deaths of single engines count, and only several of them under the same
-request name it.
+A poison request is retried, by its caller or by the entry, and each time
+crashes an engine with all its streams. Other requests lose engines as well:
+in correlated failures such as a power loss, and when they share an engine
+with a poison request. So only isolated crashes count, and several of them are
+required to block a request.
 """
 
 import collections.abc as cabc
@@ -15,24 +15,22 @@
 
 from bulrushhold import messages
 
-# Engines lost under one request before it is refused. An innocent one that
-# shares an engine with a crasher is placed elsewhere by its prompt, so that
-# three such meetings in a row are rare; a crasher costs no more than these.
+# Crashes after which a request is blocked. A harmless request that shared an
+# engine with a poison one is retried on another engine, so that this number of
+# coincidences is rare.
 MAX_CRASHES: t.Final = 3
-# Deaths this close in time, of this many engines in one data centre, have
-# another cause: engines of one data centre fall silent within 0.6 s.
+# This many losses in one data centre within this time have a common cause.
 CORRELATED_WINDOW_S: t.Final = 1.3
 MIN_CORRELATED_LOSSES: t.Final = 3
-# An engine is back some seconds after a crash, and callers come again at
-# once; one that was deployed anew may serve the request.
+# Time after which a crash is forgotten: the engine may have been redeployed.
 CRASH_TTL_S: t.Final = 60.0
 MAX_FINGERPRINTS: t.Final = 10_000
 
 
 def fingerprint(target: str, key: str, body: bytes) -> str:
-    """Return what a request and its repetitions have in common.
+    """Return a hash that is the same for all retries of a request.
 
-    :param key: names the client account.
+    :param key: key of the client account.
     """
     digest = xxhash.xxh3_64(f'{target}\n{key}\n'.encode())
     digest.update(body)
@@ -47,10 +45,10 @@
 
 
 class Crashers:
-    """Deaths of engines by request, from this entry and all others.
+    """Counts engine crashes by request, with reports of other entries.
 
-    :param lost_near: returns how many engines of an engine's data centre
-        were lost within some seconds of a moment, it included.
+    :param count_losses_near: returns the number of engines lost in an
+        engine's data centre within some seconds of a time, itself included.
     """
 
     def __init__(
@@ -62,11 +60,11 @@
         self.crashes: dict[str, dict[str, float]] = {}
 
     def died(self, fingerprint: str, engine: str, now: float) -> None:
-        """Learn that an engine died under a request of this entry."""
+        """Record that an engine crashed while running a request."""
         self.unconfirmed.append(_Crash(fingerprint, engine, now))
 
     def settle(self, now: float) -> None:
-        """Count the deaths that had the time to turn out as one of many."""
+        """Count the crashes that proved isolated after the window."""
         due = [
             d for d in self.unconfirmed if now - d.at >= CORRELATED_WINDOW_S
         ]
@@ -84,27 +82,27 @@
                 )
 
     def take_pending(self) -> list[messages.CrashReport]:
-        """Return what other entries should know; each death only once."""
+        """Return the crash reports for other entries and clear the list."""
         pending_reports, self.pending_reports = self.pending_reports, []
         return pending_reports
 
     def report_again(self, reports: list[messages.CrashReport]) -> None:
-        """Put back what may not have arrived."""
+        """Queue reports that may not have been delivered."""
         self.pending_reports = reports + self.pending_reports
 
     def add_reports(
         self, reports: cabc.Iterable[messages.CrashReport], now: float
     ) -> None:
-        """Count what other entries report."""
+        """Count the crashes that other entries report."""
         for report in reports:
             self._count(report.fingerprint, report.engine, now)
 
     def served(self, fingerprint: str) -> None:
-        """Learn that a request was served whole: it is no crasher."""
+        """Clear the crashes of a request that completed."""
         self.crashes.pop(fingerprint, None)
 
     def refused_for(self, fingerprint: str, now: float) -> float:
-        """Return for how many seconds a request is refused; 0 for not."""
+        """Return the seconds for which a request stays blocked, or 0."""
         crashes = self.crashes.get(fingerprint)
         if crashes is None:
             return 0.0
