--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -1,4 +1,4 @@
-"""Streams of a crowd: what callers get, played over the pure decisions."""
+"""Admission control: single decisions, and a simulated overload."""
 
 import asyncio
 import random
@@ -55,7 +55,7 @@
 
 
 def test_a_stream_is_refused_if_the_queue_exceeds_the_maximum_wait():
-    # 9 engines finish six streams a second; twelve wait at each of 9 entries.
+    # 9 engines complete 6.3 streams per second; 12 wait at each of 9 entries.
     assert decide(9.0, waiting=12) is decisions.AdmissionDecision.REFUSE
     assert decide(9.0, waiting=3) is decisions.AdmissionDecision.WAIT
 
@@ -75,9 +75,8 @@
 
 
 def test_reported_queue_lengths_replace_the_local_estimate():
-    # Engines fail in part, and two of them are left. One stream waits here;
-    # others tell that nobody waits there. It is served within seconds, and
-    # must not be refused as if as many waited at each of 67 entries.
+    # Guards against refusing a stream because one waiting stream is assumed at
+    # each of 67 entries.
     admission = decisions.AdmissionController()
     estimate = decisions.CapacityEstimate(9.0, False, 2, 1.4)
     admission.waiting['s'] = 1
@@ -92,8 +91,8 @@
     assert decide(99.0, engines=0) is decisions.AdmissionDecision.PLACE
 
 
-# A crowd, played: engines read one prompt after the other, and a stream then
-# holds its memory until it is written.
+# Simulation: engines read one prompt at a time, and a stream then holds its
+# memory until it is complete.
 
 
 @attrs.define
@@ -122,7 +121,7 @@
 def simulate_overload(
     with_admission_control, engines=9, rate=18.0, seconds=30.0, seed=1
 ):
-    """Return each stream's arrival and first event, or ``None``."""
+    """Return the streams with the times of arrival and first event."""
     rng = random.Random(seed)
     placement = decisions.Placement(rng)
     placement.capacity = {'s': CAPACITY}
@@ -151,7 +150,7 @@
             stream = {'at': now, 'first': None, 'unread': 1.0}
             streams.append(stream)
             waiting_streams.append(stream)
-        # The newest first: it can still be in time.
+        # The newest first: it can still meet its aim.
         for stream in reversed(list(waiting_streams)):
             estimate = placement.estimate_capacity(
                 's', now, wanted=WANTED, memory=MEMORY
@@ -197,10 +196,8 @@
 
 
 def test_admission_control_keeps_most_streams_in_time_under_overload():
-    # Seven times the usual streams come for 7 s. Sent on at once, each waits
-    # behind all that came before, also when the crowd is over: 43 to 50 % of
-    # first events are in time. Held here, 75 to 81 % are, and each tenth
-    # stream is refused and told when to come back.
+    # Seven times the usual rate for 7 s. Without admission control, each
+    # stream queues behind all earlier ones.
     without_control, with_control, served = [], [], []
     for seed in range(4):
         without_control.append(
@@ -228,9 +225,7 @@
 async def test_a_stream_that_would_wait_too_long_is_refused_as_not_run(
     client, parts
 ):
-    # All engines are full, streams were seen to take 10 s, and so many wait
-    # that it can't be in time. The caller hears at once that nothing ran, and
-    # when to come back.
+    # All engines are full, and the queue is too long for another stream.
     parts.placement.speeds.ran('engines', 10.0, parts.clock())
     parts.placement.capacity = {'engines': 10_000}
     for backend in parts.placement.backends.values():
@@ -265,14 +260,13 @@
     await run
     assert out.data == fakes.text(1, 2)
     assert parts.admission.waiting['engines'] == 0
-    # In a crowd memory is worth more than a copy: none is asked for where
-    # it would fill an engine.
+    # Under overload no copy is made where it would fill an engine.
     assert client.attempts[0].backup == ''
 
 
 def test_outdated_memory_reports_do_not_block_admission():
-    # Control is lost in a crowd. What other entries had at engines then is
-    # all an entry knows of them; seconds later that says nothing any more.
+    # Guards against streams that wait beside idle engines once load reports
+    # have ceased.
     placement = decisions.Placement(random.Random(1))
     placement.capacity = {'s': CAPACITY}
     placement.update([messages.ListedBackend('i0', 's', 'h0:1', 'dc0', 64)])
@@ -292,7 +286,7 @@
 async def test_a_prompt_too_large_for_any_engine_is_refused_at_once(
     client, parts
 ):
-    # Waiting for room would end in a refusal after as long as callers wait.
+    # Guards against waiting in vain before the refusal.
     parts.placement.capacity = {'engines': 5000}
     begun = parts.clock()
     with pytest.raises(errors.RequestError) as caught:
@@ -304,9 +298,9 @@
 
 
 def admit_concurrently(entries, seed, seconds=0.2):
-    """Let one stream wait at each entry as one engine comes back.
+    """Let one stream wait at each entry when one engine becomes free.
 
-    :returns: how many go there before entries hear of each other.
+    :returns: how many are admitted before entries exchange reports.
     """
     rng = random.Random(seed)
     estimate = decisions.CapacityEstimate(1.0, True, 9, 6.0, ready_engines=1)
@@ -328,7 +322,7 @@
 
 @pytest.mark.parametrize('entries', [2, 8, 40, 200])
 def test_concurrent_entries_do_not_overfill_one_free_engine(entries):
-    """Guards against ten prompts on one engine that all saw become idle."""
+    """Guards against many prompts on one engine that all entries see idle."""
     admitted = [admit_concurrently(entries, seed) for seed in range(40)]
     assert statistics.mean(admitted) <= 1.5
     assert max(admitted) <= 5
@@ -340,7 +334,7 @@
 
 
 def test_a_started_stream_is_admitted_before_new_ones():
-    """Guards against pauses that grow while new streams are placed."""
+    """Guards against growing pauses while new streams are placed."""
     admission = decisions.AdmissionController()
     admission.waiting['s'] = 100
     estimate = decisions.CapacityEstimate(1.0, True, 9, 6.0)
@@ -350,7 +344,7 @@
 
 
 def test_concurrent_copies_spread_over_several_engines():
-    """Guards against copies that find no room where all entries send them."""
+    """Guards against copies that all go to one engine and fill it."""
     chosen = set()
     for seed in range(8):
         placement = decisions.Placement(random.Random(seed))
@@ -376,7 +370,7 @@
 
 
 def test_no_copy_goes_to_a_failing_data_centre():
-    """Guards against copies that are gone as soon as they are needed."""
+    """Guards against copies that are lost before they are needed."""
     for seed in range(20):
         placement = decisions.Placement(random.Random(seed))
         placement.update(
--- a/tests/forwarding/test_crashers.py
+++ b/tests/forwarding/test_crashers.py
@@ -1,4 +1,4 @@
-"""Opaque requests that kill the engines they run on, and innocent ones."""
+"""Detection of poison requests, which crash the engines they run on."""
 
 import attrs
 import pytest
@@ -31,15 +31,14 @@
 
 
 def test_repeated_crashes_of_one_engine_block_no_request():
-    # A faulty engine resets whatever it gets. That is its own fault.
+    # A faulty engine fails under any request.
     detector = make_detector()
     add_crashes(detector, 'innocent', ['i0', 'i0', 'i0', 'i0'])
     assert detector.refused_for('innocent', 10.0) == 0
 
 
 def test_correlated_losses_block_no_request():
-    # All engines of a data centre lose power, three times over, and a long
-    # stream is moved each time. It is innocent.
+    # Losses of a whole data centre, three times under the same stream.
     detector = make_detector(nearby_losses=5)
     add_crashes(detector, 'innocent', ['i0', 'i1', 'i2'])
     assert detector.refused_for('innocent', 10.0) == 0
@@ -54,7 +53,7 @@
 
 
 def test_a_block_expires():
-    # The engines may have been deployed anew by then.
+    # The engines may have been redeployed by then.
     detector = make_detector()
     add_crashes(detector, 'bad', ['i0', 'i1', 'i2'])
     seconds = detector.refused_for('bad', 10.0)
@@ -62,8 +61,7 @@
 
 
 def test_crash_reports_of_other_entries_count_once_each():
-    # The caller sends its request through another entry each time. Entries
-    # tell each other through control, which may say a thing twice.
+    # Control may deliver the same report more than once.
     loads = decisions.LoadAggregator()
     receiver = make_detector()
     for number in range(3):
@@ -95,9 +93,8 @@
 async def test_a_poison_request_is_refused_and_others_are_served(
     client, parts, fleet
 ):
-    # A request has cost three engines. Its caller sends it once more: it
-    # gets a true "not run" at once, and says when to come back. Another
-    # request of the same caller to the same path is served.
+    # Guards against losing further engines to a known poison request, and
+    # against blocking other requests of its caller.
     fleet._take(fakes.a_reply())
     forwarder = forwarding.Forwarder(fleet, parts)
     call = fakes.a_job(parts, routes.Kind.IDEMPOTENT).call
--- a/tests/forwarding/test_patience.py
+++ b/tests/forwarding/test_patience.py
@@ -1,4 +1,4 @@
-"""How long a living but slow engine is waited for."""
+"""Stall timeouts of streams on slow but healthy engines."""
 
 import asyncio
 import time
@@ -29,9 +29,8 @@
 async def test_a_stream_without_a_copy_tolerates_longer_stalls(
     client, parts, short_timeouts, logged, memory_full, min_pause_s
 ):
-    # In a crowd an engine reads others' prompts and pauses a stream. With a
-    # copy elsewhere the caller is better off there; without one its prompt
-    # would be read again, which takes 0.2 s.
+    # Failing over to a copy is cheap; without one, another engine has to read
+    # the prompt again, which takes 0.2 s.
     parts.placement.capacity = {'engines': 30_000}
     for backend in parts.placement.backends.values():
         backend.memory = 20_000 if memory_full else 0
@@ -51,8 +50,7 @@
 async def test_a_queued_stream_is_retried_only_where_it_is_served_sooner(
     client, parts, short_timeouts, monkeypatch, queued_tokens, retried
 ):
-    # A prompt waits in an engine's queue. Where all others have as much to
-    # read, moving would only put it behind them.
+    # Guards against moving a queued prompt to an engine with an equal queue.
     addresses = []
 
     async def send(call, attempt):
@@ -73,10 +71,8 @@
 async def test_a_paused_entry_reads_buffered_events_before_it_times_out(
     client, parts, monkeypatch
 ):
-    # The entry's machine freezes for a second in mid-stream. The engine goes
-    # on, and its events lie in the socket when the entry wakes: the caller
-    # should get them at once. Taken for a silent engine, the stream is moved
-    # instead, and its prompt read again.
+    # Guards against counting a pause of the entry itself as the engine's
+    # silence: events wait in the socket, and the stream would be retried.
     client.scripts = [
         fakes.Script(events=(1, 2, 3)),
         fakes.Script(events=(3,)),
@@ -86,7 +82,7 @@
 
     async def chunk(self):
         if self.left == [3] and freezes:
-            # Whoever waits in vain has lost nothing: the event stays.
+            # A read that times out loses nothing: the event stays buffered.
             asyncio.get_running_loop().call_soon(time.sleep, freezes.pop())
             await asyncio.sleep(0.01)
         return await original_chunk(self)
--- a/tests/test_loadreports.py
+++ b/tests/test_loadreports.py
@@ -1,4 +1,4 @@
-"""Load reports: sums by control process, without a network and with one."""
+"""Load reports: aggregation in one process and exchange between processes."""
 
 import itertools
 import random
@@ -21,7 +21,7 @@
 
 
 class Network:
-    """Control processes that exchange sums over links that fail."""
+    """Control processes that exchange sums over lossy links."""
 
     def __init__(self, count, seed=1, loss=0.0):
         self.rng = random.Random(seed)
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize('seed', range(8))
 def test_events_are_delivered_over_lossy_links(seed):
-    """Guards against a lost engine that only one data centre knows of."""
+    """Guards against losses that only one data centre knows of."""
     network = Network(5, seed, loss=0.5)
     network.exchange(5)
     network.nodes['n0'].take(
@@ -103,7 +103,7 @@
 
 
 def test_an_event_after_a_process_restart_is_new(network):
-    """Guards against events that look old since numbers begin anew."""
+    """Guards against ignoring events as a restart resets their numbers."""
     network.nodes['n0'].take(report('e1', 'i1'), network.now)
     for number in range(9):
         network.nodes['n0'].take(report('e1', f'i{number}'), network.now)
@@ -154,7 +154,7 @@
 
 
 class LoadExchange(stateful.RuleBasedStateMachine):
-    """Compares what processes believe with the truth once all settle."""
+    """Compares the summaries of all processes with the actual load."""
 
     def __init__(self):
         super().__init__()
@@ -223,7 +223,7 @@
 
 
 def test_load_that_moves_between_entries_is_reported_to_both(network):
-    """Guards against differences that miss what adds up to the same."""
+    """Guards against differences that omit engines with equal totals."""
     node = network.nodes['n0']
     node.take(report('e1', 'i1'), 0.0)
     node.take(report('e2'), 0.0)
@@ -239,7 +239,7 @@
 
 
 def test_a_small_change_is_a_small_message(network):
-    """Guards against links that are full of loads that haven't changed."""
+    """Guards against sending loads that haven't changed."""
     node = network.nodes['n0']
     node.take(report('e1', *(f'i{n}' for n in range(200))), 0.0)
     network.exchange(3)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""Placing opaque requests, with the clock in hand."""
+"""Choosing engines for requests and copies; retry budgets; load summaries."""
 
 import random
 
@@ -36,9 +36,8 @@
 
 
 def test_prompts_of_other_entries_count_as_load():
-    # A data centre dies; each entry moves its streams at the same moment.
-    # Unless each hears what the others place, all choose the same engines
-    # and every prompt waits for several others to be read.
+    # Guards against entries that ignore each other's prompts: all would choose
+    # the same engines, and prompts would queue there.
     first, second = make_placement(), make_placement()
     for _ in range(5):
         engine = choose_engine(first)
@@ -84,9 +83,8 @@
 
 
 def test_a_copy_goes_to_an_engine_with_free_memory():
-    # Streams aren't spread evenly. The engine with the fewest of them holds
-    # copies of many others; a stream without a copy would have its prompt
-    # read again when its engine is lost.
+    # Guards against choosing the engine with the fewest streams although
+    # copies fill its memory.
     placement = make_placement()
     placement.capacity = {'engines': 88_000}
     engine = choose_engine(placement)
@@ -146,7 +144,7 @@
     budget = decisions.RepeatBudget(0.5, 20, 10.0)
     budget.entries = 4
     taken = sum(budget.take('engines', 0.0) for _ in range(50))
-    assert taken == 4  # 20 over 4 entries, with a margin of a fifth.
+    assert taken == 4  # 20 over 4 entries, minus a margin of a fifth.
     for _ in range(100):
         budget.first('engines', 1.0)
     taken += sum(budget.take('engines', 1.0) for _ in range(100))
@@ -157,8 +155,8 @@
 
 
 def test_a_replaced_engine_is_reported_and_never_used_again():
-    # The engines of a data centre are back under new identities, and the
-    # platform's list still has the old ones. One refusal tells all entries.
+    # Guards against requests to the old identity of a restarted engine, which
+    # the platform's list may still contain.
     first, second = make_placement(), make_placement()
     first.replaced('i2')
     report = first.load_report('e1', {}, 0.0)
@@ -171,8 +169,8 @@
 
 
 def test_an_entry_may_use_retry_budget_that_others_leave_unused():
-    # One data centre's engines die at 67 entries. The streams of one entry
-    # are more than its part of the budget, and all together far below it.
+    # Guards against refused retries while most of the shared budget is unused:
+    # with many entries, each local budget is small.
     budget = decisions.RepeatBudget(0.8, 150, 10.0)
     budget.entries = 67
     for _ in range(4):
@@ -212,8 +210,8 @@
 
 
 def test_a_recently_lost_engine_is_the_last_choice():
-    # It is down, or back under another identity that the list hasn't got
-    # yet; every entry would send it the next prompt, and be refused.
+    # Guards against sending it the next prompts of all entries: it looks idle,
+    # but is probably still down.
     placement = make_placement(engines=2)
     for backend in placement.backends.values():
         backend.data_centre = 'dc0'
@@ -224,8 +222,8 @@
 
 
 def test_streams_and_copies_avoid_an_engine_without_free_memory():
-    # An engine holds some ten prompts. One more waits until another stream
-    # has ended, though places are free and nothing is being read.
+    # Guards against prompts that wait for memory although the engine has free
+    # slots and reads nothing.
     placement = make_placement(engines=3)
     placement.capacity = {'engines': 88_000}
     preferred = choose_engine(placement)
@@ -239,9 +237,8 @@
 
 
 def test_concurrent_entries_do_not_all_choose_the_least_loaded_engine():
-    # Streams of a dead data centre are placed by as many entries before any
-    # hears of another. Ten times thirty of them on six idle engines of sixty:
-    # the idlest alone would get 50 each, five prompts one after the other.
+    # Guards against overloading the few idle engines before entries know of
+    # each other's choices; there are 300 entries and 6 idle engines.
     counts = {}
     for entry in range(300):
         placement = make_placement(engines=60, seed=entry)
@@ -254,11 +251,8 @@
 
 
 def test_streams_of_a_lost_data_centre_spread_over_busy_engines():
-    # A data centre dies while four in five of the engines left are reading a
-    # prompt. Its streams are placed by as many entries before any hears of
-    # another; at the few idle engines they would wait for five to nine
-    # prompts each. Mean prompts ahead, own one included, over 20 draws:
-    # 4.4 on 18 engines and 9.2 on 90 while all took the idlest engine.
+    # Guards against placing all streams at the few idle engines while most
+    # engines read prompts. The bounds are mean prompts to be read per stream.
     assert mean_prompts_ahead(engines=18, streams=12) < 3.7
     assert mean_prompts_ahead(engines=90, streams=60) < 4.2
 
@@ -290,9 +284,7 @@
 
 
 def test_a_retry_through_another_entry_reaches_the_cached_prompt():
-    # The caller's entry loses power. It comes back through another entry,
-    # which has never seen it; reading its prompt again takes a second and
-    # the engine's work is for nothing.
+    # Guards against reading a prompt again when the caller's entry is lost.
     same = 0
     for number in range(40):
         first, second = (
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -1,4 +1,4 @@
-"""What entries learn of engines' speeds, for engines of any speed."""
+"""Speed estimates and stall timeouts for engines of any speed."""
 
 import pytest
 
@@ -43,7 +43,7 @@
 
 
 def test_samples_of_all_entries_are_combined():
-    # Each of ten entries sees few streams: alone it would go by the route.
+    # Each entry alone has too few samples to differ from the route's prior.
     loads = decisions.LoadAggregator()
     for number in range(10):
         placement = decisions.Placement(None)
@@ -60,7 +60,7 @@
 
 
 def test_one_paused_entry_hardly_changes_the_estimates():
-    # Others go on meanwhile, and tell what they see.
+    # Guards against the long samples of a paused entry.
     speeds = decisions.EngineSpeeds()
     others = messages.EngineSpeed(
         80_000, 10 * READ_S, 1000, 1000 * PAUSE_S, 1000 * PAUSE_S**2
@@ -82,8 +82,8 @@
 
 
 def test_pending_reads_raise_the_estimate():
-    # All engines turn slow at the same moment: nothing has been read since,
-    # and going on elsewhere would not be any sooner.
+    # Guards against needless failovers while all engines are slow: no read has
+    # completed since the slowdown.
     speeds = decisions.EngineSpeeds()
     add_reads(speeds, READ_S, 0.0, count=10)
     for number in range(6):
@@ -93,7 +93,7 @@
 
 
 def test_an_excluded_engine_does_not_affect_the_estimate():
-    # One engine is stuck, with all that was sent there.
+    # A single stalled engine, with its pending reads.
     speeds = decisions.EngineSpeeds()
     add_reads(speeds, READ_S, 0.0, count=10)
     readings = [speeds.reads('s', 'stuck', 8000, 10.0) for _ in range(4)]
@@ -106,10 +106,9 @@
 
 @pytest.mark.parametrize('speed', SPEEDS)
 def test_stall_timeouts_fit_engines_of_any_speed(speed):
-    # While a prompt is read, events come several times slower than otherwise.
-    # An engine that lives isn't left for that, at any speed; one that is dead
-    # is found out early enough for the longest pause that is wanted, as long
-    # as usual pauses leave the time.
+    # Pauses grow while the engine reads a prompt. A healthy engine must not be
+    # abandoned for that, and a dead one must be detected early enough for the
+    # longest pause allowed, if the usual pauses leave the time.
     speeds = decisions.EngineSpeeds()
     idle_pause_s, reading = PAUSE_S / speed, 4 * PAUSE_S / speed
     add_pauses(speeds, 0.0, *[idle_pause_s] * 200, *[reading] * 60)
