--- a/src/bulrushhold/decisions/_admissioncontrol.py
+++ b/src/bulrushhold/decisions/_admissioncontrol.py
@@ -103,7 +103,7 @@
     ) -> AdmissionDecision:
         """Decide on a stream that has waited for ``waited_s``.
 
-        :param remaining_s: time to the stream's deadline.
+        :param left_s: time to the stream's deadline.
         :param aim_s: target for the time from arrival to first event.
         :param queue_s: time until all waiting streams are placed.
         :param first_check: the stream has just arrived.
