--- a/src/bulrushhold/decisions/_crashers.py
+++ b/src/bulrushhold/decisions/_crashers.py
@@ -66,10 +66,14 @@
     def settle(self, now: float) -> None:
         """Count the crashes that proved isolated after the window."""
         due = [
-            d for d in self.unconfirmed if now - d.at >= CORRELATED_WINDOW_S
+            crash
+            for crash in self.unconfirmed
+            if now - crash.at >= CORRELATED_WINDOW_S
         ]
         self.unconfirmed = [
-            d for d in self.unconfirmed if now - d.at < CORRELATED_WINDOW_S
+            crash
+            for crash in self.unconfirmed
+            if now - crash.at < CORRELATED_WINDOW_S
         ]
         for crash in due:
             nearby_losses = self.lost_near(
--- a/src/bulrushhold/decisions/_known.py
+++ b/src/bulrushhold/decisions/_known.py
@@ -105,12 +105,12 @@
         self, backend: _placed.Placed, now: float, tokens: int, share: float
     ) -> bool:
         capacity = self.capacity.get(backend.service, 0)
-        held = (
+        needed = (
             backend.memory
             + self.current_remote_load(backend, now).memory
             + tokens
         )
-        return not capacity or held <= capacity * share
+        return not capacity or needed <= capacity * share
 
     def current_remote_load(
         self, backend: _placed.Placed, now: float
@@ -171,7 +171,7 @@
         recent = self.data_centre_failures.setdefault(
             location, collections.deque(maxlen=8)
         )
-        if all(server != backend.ident for _, server in recent):
+        if all(ident != backend.ident for _, ident in recent):
             recent.append((now, backend.ident))
 
     def succeeded(self, ident: str, now: float, latency: float | None) -> None:
@@ -298,8 +298,8 @@
     def memory_penalty(
         self, backend: _placed.Placed, now: float, tokens: int
     ) -> float:
-        room = self.has_room(backend, now, tokens, MAX_MEMORY_SHARE)
-        return 0.0 if room else FULL_PENALTY_PROMPTS
+        fits = self.has_room(backend, now, tokens, MAX_MEMORY_SHARE)
+        return 0.0 if fits else FULL_PENALTY_PROMPTS
 
     def health_penalty(self, backend: _placed.Placed, now: float) -> float:
         on_probation = now - backend.lost_at < PROBATION_S
--- a/src/bulrushhold/decisions/_loadreports.py
+++ b/src/bulrushhold/decisions/_loadreports.py
@@ -108,15 +108,15 @@
     def take(self, report: messages.LoadReport, now: float) -> bool:
         """Add an entry's report; return whether it contains new events."""
         self.number += 1
-        known = self.reports.get(report.entry)
+        existing = self.reports.get(report.entry)
         self.reports[report.entry] = report
-        before = known.engines if known is not None else {}
+        previous = existing.engines if existing is not None else {}
         self.changed_engines.update(
             ident
-            for ident in before.keys() | report.engines.keys()
-            if before.get(ident) != report.engines.get(ident)
+            for ident in previous.keys() | report.engines.keys()
+            if previous.get(ident) != report.engines.get(ident)
         )
-        return self._take_events(report, now, local=True)
+        return self._add_events(report, now, local=True)
 
     def forget(self, entry: str) -> None:
         """Remove the report of an entry that has left."""
@@ -132,11 +132,11 @@
         node.at = now
         incarnation, number = load.acknowledged.get(self.node, (0, 0))
         node.acknowledged = number if incarnation == self.incarnation else 0
-        before = node.sum
+        previous = node.sum
         if not node.update(load):
             return False
-        self.number += before != node.sum
-        return self._take_events(load.sum, now, local=False)
+        self.number += previous != node.sum
+        return self._add_events(load.sum, now, local=False)
 
     def expire(self, now: float) -> bool:
         """Remove old events and sums; return whether any sum was removed."""
@@ -145,23 +145,23 @@
         for address, node in list(self.nodes.items()):
             if now - node.at > NODE_TTL_S:
                 del self.nodes[address]
-        old = [
+        outdated = [
             node
             for node in self.nodes.values()
             if node.sum is not None and now - node.at > SUM_TTL_S
         ]
-        for node in old:
+        for node in outdated:
             node.forget()
-        self.number += bool(old)
-        return bool(old)
+        self.number += bool(outdated)
+        return bool(outdated)
 
-    def _take_events(
+    def _add_events(
         self, report: messages.LoadReport, now: float, *, local: bool
     ) -> bool:
         if not report.urgent:
             return False
         self.expire(now)
-        known = {(e.lost, e.replaced, e.crash) for e in self.events}
+        existing = {(e.lost, e.replaced, e.crash) for e in self.events}
         events = [
             *(
                 _Event(self.number, now, local, lost=ident)
@@ -179,7 +179,7 @@
         new_events = [
             event
             for event in events
-            if (event.lost, event.replaced, event.crash) not in known
+            if (event.lost, event.replaced, event.crash) not in existing
         ]
         self.events.extend(new_events)
         return bool(new_events)
@@ -265,8 +265,8 @@
             for node in self.nodes.values()
             if _is_live(node, now)
         }
-        known = {node.data_centre for node in self.nodes.values()}
-        return sorted(known - live - {self.data_centre})
+        existing = {node.data_centre for node in self.nodes.values()}
+        return sorted(existing - live - {self.data_centre})
 
     def age_s(self, now: float) -> float:
         """Return the age in seconds of the oldest sum that still counts."""
--- a/src/bulrushhold/decisions/_placing.py
+++ b/src/bulrushhold/decisions/_placing.py
@@ -123,9 +123,9 @@
 
         def wait(backend: _placed.Placed) -> float:
             rank = ranks.get(backend.ident, AFFINITY_CANDIDATES)
-            own = 0 if backend.ident == cached else tokens
+            own_tokens = 0 if backend.ident == cached else tokens
             others = self.current_remote_load(backend, now)
-            prompts = (backend.reading + others.reading + own) / prompt
+            prompts = (backend.reading + others.reading + own_tokens) / prompt
             running = backend.inflight + others.running
             prompts += (
                 running * RUNNING_STREAM_COST_PROMPTS
@@ -200,13 +200,13 @@
         """
 
         def cost(backend: _placed.Placed) -> float:
-            same = backend.data_centre == engine.data_centre
+            same_data_centre = backend.data_centre == engine.data_centre
             others = backend.others
             load = backend.inflight + others.running
             return (
                 load
                 + (backend.memory + others.memory) / max(1, tokens)
-                + 100 * same
+                + 100 * same_data_centre
                 + 10 * self.health_penalty(backend, now)
                 + 10 * self.memory_penalty(backend, now, tokens)
                 + self.rng.random()
@@ -298,13 +298,13 @@
         An engine reads one prompt at a time, and its memory holds a limited
         number of streams until they are complete.
         """
-        reads = 1 / prompt_s if prompt_s else float('inf')
+        reads_per_s = 1 / prompt_s if prompt_s else float('inf')
         run_s = self.speeds.run_s(service, now)
         capacity = self.capacity.get(service, 0)
         if not run_s or not capacity or not memory:
-            return reads
+            return reads_per_s
         return min(
-            reads,
+            reads_per_s,
             max(1.0, _known.MAX_MEMORY_SHARE * capacity / memory) / run_s,
         )
 
--- a/src/bulrushhold/decisions/_repeats.py
+++ b/src/bulrushhold/decisions/_repeats.py
@@ -44,32 +44,32 @@
         self.entries = 1
         self.remote_traffic: dict[str, messages.ServiceTraffic] = {}
         self.last_report_at = float('-inf')
-        self.firsts: dict[str, collections.deque[float]] = {}
-        self.repeats: dict[str, collections.deque[float]] = {}
+        self.request_times: dict[str, collections.deque[float]] = {}
+        self.retry_times: dict[str, collections.deque[float]] = {}
 
     def first(self, service: str, now: float) -> None:
         """Count a request received from a caller."""
-        self._recent(self.firsts, service, now).append(now)
+        self._recent(self.request_times, service, now).append(now)
 
     def take(self, service: str, now: float, *, begun: bool = False) -> bool:
         """Return whether a retry is allowed, and count it if so.
 
         :param begun: the caller has received a part of the answer.
         """
-        firsts = len(self._recent(self.firsts, service, now))
-        repeats = self._recent(self.repeats, service, now)
-        local_budget = self.ratio * firsts + self.allowance / max(
+        requests = len(self._recent(self.request_times, service, now))
+        retries = self._recent(self.retry_times, service, now)
+        local_budget = self.ratio * requests + self.allowance / max(
             1, self.entries
         )
         within_local_budget = (
-            len(repeats) + 1 <= local_budget * LOCAL_SHARE_MARGIN
+            len(retries) + 1 <= local_budget * LOCAL_SHARE_MARGIN
         )
         limit = SHARED_LIMIT_STARTED if begun else SHARED_LIMIT
         if not within_local_budget and not self._has_shared_headroom(
             service, now, limit
         ):
             return False
-        repeats.append(now)
+        retries.append(now)
         return True
 
     def _has_shared_headroom(
@@ -81,9 +81,13 @@
             or now - self.last_report_at > LOAD_REPORT_TTL_S
         ):
             return False
-        firsts = remote_traffic.firsts + len(self.firsts.get(service, ()))
-        repeats = remote_traffic.repeats + len(self.repeats.get(service, ()))
-        return repeats < limit * (self.ratio * firsts + self.allowance)
+        requests = remote_traffic.firsts + len(
+            self.request_times.get(service, ())
+        )
+        retries = remote_traffic.repeats + len(
+            self.retry_times.get(service, ())
+        )
+        return retries < limit * (self.ratio * requests + self.allowance)
 
     def apply_loads(
         self, remote_traffic: dict[str, messages.ServiceTraffic], now: float
@@ -96,10 +100,10 @@
         """Return this entry's traffic within the window, by service."""
         return {
             service: messages.ServiceTraffic(
-                len(self._recent(self.firsts, service, now)),
-                len(self._recent(self.repeats, service, now)),
+                len(self._recent(self.request_times, service, now)),
+                len(self._recent(self.retry_times, service, now)),
             )
-            for service in list(self.firsts)
+            for service in list(self.request_times)
         }
 
     def _recent(
--- a/src/bulrushhold/decisions/_speeds.py
+++ b/src/bulrushhold/decisions/_speeds.py
@@ -106,10 +106,10 @@
         self.forget(reading)
         token_s = self.token_s(reading.service, wanted, now)
         max_s = MAX_SAMPLE_RATIO * token_s * reading.tokens
-        took = min(now - reading.started_at, max_s)
+        read_s = min(now - reading.started_at, max_s)
         self._add(
             reading.service,
-            messages.EngineSpeed(tokens=reading.tokens, read_s=took),
+            messages.EngineSpeed(tokens=reading.tokens, read_s=read_s),
             now,
         )
 
