--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -18,7 +18,7 @@
 AIM_S = 4.5
 CALLER_TIMEOUT_S = 4 * AIM_S
 PROMPT = 8000
-WANTED = decisions.Wanted(PROMPT, AIM_S, 0.7)
+OBJECTIVE = decisions.Wanted(PROMPT, AIM_S, 0.7)
 MEMORY = 8500
 CAPACITY = 88_000
 DECODE_S = 8.0
@@ -114,7 +114,7 @@
             if stream['unread'] <= 1e-9:
                 self.queue.pop(0)
                 stream['first'] = now
-                self.speeds.read(stream['reading'], WANTED, now)
+                self.speeds.read(stream['reading'], OBJECTIVE, now)
                 self.running.append(now + DECODE_S + len(self.running))
 
 
@@ -153,7 +153,7 @@
         # The newest first: it can still meet its aim.
         for stream in reversed(list(waiting_streams)):
             estimate = placement.estimate_capacity(
-                's', now, wanted=WANTED, memory=MEMORY
+                's', now, wanted=OBJECTIVE, memory=MEMORY
             )
             admission.waiting['s'] = len(waiting_streams)
             queue_s = admission.queue_s('s', estimate, 1, now)
@@ -273,11 +273,11 @@
     full = {'i0': messages.EngineLoad(40_000, 10, CAPACITY)}
     placement.apply_loads(messages.LoadSummary(1, full, []), 0.0)
     current = placement.estimate_capacity(
-        's', 0.1, wanted=WANTED, memory=MEMORY
+        's', 0.1, wanted=OBJECTIVE, memory=MEMORY
     )
     assert current.first_s == float('inf')
     later = placement.estimate_capacity(
-        's', 10.0, wanted=WANTED, memory=MEMORY
+        's', 10.0, wanted=OBJECTIVE, memory=MEMORY
     )
     assert later.idle
     assert later.first_s < AIM_S
--- a/tests/forwarding/test_patience.py
+++ b/tests/forwarding/test_patience.py
@@ -78,12 +78,12 @@
         fakes.Script(events=(3,)),
     ]
     original_chunk = fakes.FakeAnswer.chunk
-    freezes = [1.0]
+    pauses_s = [1.0]
 
     async def chunk(self):
-        if self.left == [3] and freezes:
+        if self.left == [3] and pauses_s:
             # A read that times out loses nothing: the event stays buffered.
-            asyncio.get_running_loop().call_soon(time.sleep, freezes.pop())
+            asyncio.get_running_loop().call_soon(time.sleep, pauses_s.pop())
             await asyncio.sleep(0.01)
         return await original_chunk(self)
 
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -42,16 +42,16 @@
     for _ in range(5):
         engine = choose_engine(first)
         first.began(engine, 8000)
-    seen = first.load_report('e1', {}, 0.0).engines
-    second.apply_loads(messages.LoadSummary(1, seen, []), 0.0)
-    assert choose_engine(second).ident not in seen
+    loads = first.load_report('e1', {}, 0.0).engines
+    second.apply_loads(messages.LoadSummary(1, loads, []), 0.0)
+    assert choose_engine(second).ident not in loads
 
 
 def test_outdated_load_reports_are_ignored():
     placement = make_placement(engines=2)
     preferred = choose_engine(placement).ident
-    seen = {preferred: messages.EngineLoad(8000, 1)}
-    placement.apply_loads(messages.LoadSummary(1, seen, []), 0.0)
+    loads = {preferred: messages.EngineLoad(8000, 1)}
+    placement.apply_loads(messages.LoadSummary(1, loads, []), 0.0)
     assert choose_engine(placement, now=1.0).ident != preferred
     assert choose_engine(placement, now=5.0).ident == preferred
 
@@ -227,8 +227,8 @@
     placement = make_placement(engines=3)
     placement.capacity = {'engines': 88_000}
     preferred = choose_engine(placement)
-    seen = {preferred.ident: messages.EngineLoad(0, 0, 72_000)}
-    placement.apply_loads(messages.LoadSummary(1, seen, []), 0.0)
+    loads = {preferred.ident: messages.EngineLoad(0, 0, 72_000)}
+    placement.apply_loads(messages.LoadSummary(1, loads, []), 0.0)
     assert choose_engine(placement).ident != preferred.ident
     for backend in placement.backends.values():
         if backend is not preferred:
@@ -243,8 +243,8 @@
     for entry in range(300):
         placement = make_placement(engines=60, seed=entry)
         busy = messages.EngineLoad(0, 2, 20_000)
-        seen = {f'i{n}': busy for n in range(6, 60)}
-        placement.apply_loads(messages.LoadSummary(1, seen, []), 0.0)
+        loads = {f'i{n}': busy for n in range(6, 60)}
+        placement.apply_loads(messages.LoadSummary(1, loads, []), 0.0)
         ident = choose_engine(placement, part=f'session-{entry}').ident
         counts[ident] = counts.get(ident, 0) + 1
     assert max(counts.values()) <= 40
@@ -262,7 +262,7 @@
     draws = 20
     for draw in range(draws):
         rng = random.Random(draw)
-        seen = {
+        loads = {
             f'i{n}': messages.EngineLoad(
                 8000 * (rng.random() < 0.8),
                 rng.randrange(1, 4),
@@ -274,12 +274,12 @@
         assigned = {}
         for number in range(streams):
             placement = make_placement(engines, seed=100 * draw + number)
-            placement.apply_loads(messages.LoadSummary(1, seen, lost), 0.0)
+            placement.apply_loads(messages.LoadSummary(1, loads, lost), 0.0)
             ident = choose_engine(
                 placement, 0.01, part=f'{draw}-{number}'
             ).ident
             assigned[ident] = assigned.get(ident, 0) + 1
-            ahead += assigned[ident] + seen[ident].reading / 8000
+            ahead += assigned[ident] + loads[ident].reading / 8000
     return ahead / draws / streams
 
 
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -5,7 +5,7 @@
 from bulrushhold import decisions
 from bulrushhold import messages
 
-WANTED = decisions.Wanted(8000, 4.5, 0.7)
+OBJECTIVE = decisions.Wanted(8000, 4.5, 0.7)
 SPEEDS = [3.0, 1.0, 1 / 3]
 READ_S = 1.0
 PAUSE_S = 0.028
@@ -14,11 +14,11 @@
 def add_reads(speeds, seconds, at, count=1, engine='i0'):
     for number in range(count):
         reading = speeds.reads('s', engine, 8000, at + number)
-        speeds.read(reading, WANTED, at + number + seconds)
+        speeds.read(reading, OBJECTIVE, at + number + seconds)
 
 
 def add_pauses(speeds, at, *seconds):
-    pauses = decisions.Pauses(speeds.pause_s('s', WANTED, at, 4.0))
+    pauses = decisions.Pauses(speeds.pause_s('s', OBJECTIVE, at, 4.0))
     for pause_s in seconds:
         pauses.add(pause_s)
     speeds.paused('s', pauses, at)
@@ -28,16 +28,16 @@
 def test_the_read_speed_is_estimated_at_any_engine_speed(speed):
     speeds = decisions.EngineSpeeds()
     add_reads(speeds, READ_S / speed, 0.0, count=12)
-    estimated_s = 8000 * speeds.token_s('s', WANTED, 12.0)
+    estimated_s = 8000 * speeds.token_s('s', OBJECTIVE, 12.0)
     assert estimated_s == pytest.approx(READ_S / speed, rel=0.15)
 
 
 def test_estimates_without_samples_follow_the_route():
     speeds = decisions.EngineSpeeds()
     slow = decisions.Wanted(8000, 45.0, 7.0)
-    assert 8000 * speeds.token_s('s', WANTED, 0.0) == pytest.approx(1.5)
+    assert 8000 * speeds.token_s('s', OBJECTIVE, 0.0) == pytest.approx(1.5)
     assert 8000 * speeds.token_s('s', slow, 0.0) == pytest.approx(15.0)
-    assert speeds.pause_s('s', WANTED, 0.0, 4.0) < 0.35
+    assert speeds.pause_s('s', OBJECTIVE, 0.0, 4.0) < 0.35
     assert speeds.pause_s('s', slow, 0.0, 4.0) > 1.0
     assert speeds.run_s('s', 0.0) is None
 
@@ -52,7 +52,7 @@
         loads.take(placement.load_report(f'e{number}', {}, 3.0), 3.0)
     last = decisions.EngineSpeeds()
     last.apply_loads(loads.others('e99', 0).speeds)
-    assert 8000 * last.token_s('s', WANTED, 3.0) > 2.7
+    assert 8000 * last.token_s('s', OBJECTIVE, 3.0) > 2.7
     assert last.run_s('s', 3.0) == pytest.approx(9.0)
     own = decisions.EngineSpeeds()
     own.apply_loads(loads.others('e1', 0).speeds)
@@ -66,19 +66,19 @@
         80_000, 10 * READ_S, 1000, 1000 * PAUSE_S, 1000 * PAUSE_S**2
     )
     speeds.apply_loads({'s': others})
-    before = speeds.token_s('s', WANTED, 10.0)
+    before = speeds.token_s('s', OBJECTIVE, 10.0)
     add_reads(speeds, 60.0, 10.0)
-    assert speeds.token_s('s', WANTED, 70.0) < 1.5 * before
-    usual = speeds.pause_s('s', WANTED, 70.0, 4.0)
+    assert speeds.token_s('s', OBJECTIVE, 70.0) < 1.5 * before
+    baseline = speeds.pause_s('s', OBJECTIVE, 70.0, 4.0)
     add_pauses(speeds, 70.0, 60.0)
-    assert speeds.pause_s('s', WANTED, 70.0, 4.0) < 2 * usual
+    assert speeds.pause_s('s', OBJECTIVE, 70.0, 4.0) < 2 * baseline
 
 
 def test_a_slowdown_is_detected_within_seconds():
     speeds = decisions.EngineSpeeds()
     add_reads(speeds, READ_S, 0.0, count=20)
     add_reads(speeds, 4 * READ_S, 24.0, count=8)
-    assert 8000 * speeds.token_s('s', WANTED, 36.0) > 2.5 * READ_S
+    assert 8000 * speeds.token_s('s', OBJECTIVE, 36.0) > 2.5 * READ_S
 
 
 def test_pending_reads_raise_the_estimate():
@@ -88,8 +88,8 @@
     add_reads(speeds, READ_S, 0.0, count=10)
     for number in range(6):
         speeds.reads('s', f'i{number}', 8000, 10.0)
-    usual = speeds.token_s('s', WANTED, 11.0)
-    assert speeds.token_s('s', WANTED, 14.0) > 2 * usual
+    baseline = speeds.token_s('s', OBJECTIVE, 11.0)
+    assert speeds.token_s('s', OBJECTIVE, 14.0) > 2 * baseline
 
 
 def test_an_excluded_engine_does_not_affect_the_estimate():
@@ -97,11 +97,11 @@
     speeds = decisions.EngineSpeeds()
     add_reads(speeds, READ_S, 0.0, count=10)
     readings = [speeds.reads('s', 'stuck', 8000, 10.0) for _ in range(4)]
-    others = speeds.token_s('s', WANTED, 14.0, but='stuck')
+    others = speeds.token_s('s', OBJECTIVE, 14.0, but='stuck')
     assert 8000 * others < 1.3 * READ_S
     for reading in readings:
         speeds.forget(reading)
-    assert speeds.token_s('s', WANTED, 14.0) == pytest.approx(others)
+    assert speeds.token_s('s', OBJECTIVE, 14.0) == pytest.approx(others)
 
 
 @pytest.mark.parametrize('speed', SPEEDS)
@@ -110,19 +110,24 @@
     # abandoned for that, and a dead one must be detected early enough for the
     # longest pause allowed, if the usual pauses leave the time.
     speeds = decisions.EngineSpeeds()
-    idle_pause_s, reading = PAUSE_S / speed, 4 * PAUSE_S / speed
-    add_pauses(speeds, 0.0, *[idle_pause_s] * 200, *[reading] * 60)
-    typical_pause_s, usual = (
-        speeds.pause_s('s', WANTED, 0.0, d) for d in (1.5, 4.0)
+    idle_pause_s, reading_pause_s = PAUSE_S / speed, 4 * PAUSE_S / speed
+    add_pauses(speeds, 0.0, *[idle_pause_s] * 200, *[reading_pause_s] * 60)
+    typical_pause_s, long_pause_s = (
+        speeds.pause_s('s', OBJECTIVE, 0.0, d) for d in (1.5, 4.0)
+    )
+    timeouts = decisions.Patience(
+        typical_pause_s, long_pause_s, OBJECTIVE.gap_s, 0.18
     )
-    timeouts = decisions.Patience(typical_pause_s, usual, WANTED.gap_s, 0.18)
     assert timeouts.ask_after_s > idle_pause_s
-    assert timeouts.ask_after_s < usual or usual < WANTED.gap_s / 2
-    if 2 * reading + 0.18 < WANTED.gap_s:
-        assert timeouts.ask_after_s + 0.18 + reading < WANTED.gap_s
-    assert timeouts.leave_with_copy_s() > 2 * reading
-    without = timeouts.leave_without_copy_s(1.0)
-    assert without >= 2.0 > timeouts.leave_with_copy_s()
+    assert (
+        timeouts.ask_after_s < long_pause_s
+        or long_pause_s < OBJECTIVE.gap_s / 2
+    )
+    if 2 * reading_pause_s + 0.18 < OBJECTIVE.gap_s:
+        assert timeouts.ask_after_s + 0.18 + reading_pause_s < OBJECTIVE.gap_s
+    assert timeouts.leave_with_copy_s() > 2 * reading_pause_s
+    without_copy_s = timeouts.leave_without_copy_s(1.0)
+    assert without_copy_s >= 2.0 > timeouts.leave_with_copy_s()
 
 
 def test_the_first_event_timeout_follows_the_slower_engine():
