--- a/src/bulrushhold/decisions/_loadreports.py
+++ b/src/bulrushhold/decisions/_loadreports.py
@@ -1,9 +1,9 @@
-"""Adds up load reports, by entry within one control process and by process.
+"""Aggregate load reports by control process, and of all processes.
 
-An entry alone learns of an engine's loss only from its own streams, and of
-the prompts that others send there not at all. Entries report to a control
-process of their data centre; these exchange sums, so that traffic between
-data centres grows with data centres and engines, not with entries.
+An entry alone sees only its own streams and the failures among them. Entries
+report to a control process of their data centre, and the processes exchange
+sums, so that traffic between data centres doesn't grow with the number of
+entries.
 """
 
 import collections
@@ -14,15 +14,15 @@
 from bulrushhold.decisions import _loadtotals
 from bulrushhold import messages
 
-# Events reach processes that were out of touch for a moment; an engine that
-# was lost longer ago has been restarted or taken off the list.
-EVENT_KEPT_S: t.Final = 2.0
+# Events are kept for processes that were briefly disconnected. An older loss
+# no longer matters: the engine has restarted or left the list.
+EVENT_TTL_S: t.Final = 2.0
 # Several sums in a row are missing.
-SILENT_AFTER_S: t.Final = 0.8
-# A sum that is older says nothing about the load of engines.
-SUM_KEPT_S: t.Final = 2.0
-# After this time its entries report elsewhere.
-NODE_KEPT_S: t.Final = 10.0
+SUM_MISSING_AFTER_S: t.Final = 0.8
+# An older sum says nothing about the current load of engines.
+SUM_TTL_S: t.Final = 2.0
+# By then the entries of a lost process report to another one.
+NODE_TTL_S: t.Final = 10.0
 
 
 @attrs.frozen
@@ -42,10 +42,10 @@
 
 @attrs.define
 class _Node:
-    """What another control process has sent.
+    """The state of the exchange with another control process.
 
-    :param received: number of its newest sum that has arrived.
-    :param acknowledged: number of the newest sum that it has from here.
+    :param received: number of its newest sum received here.
+    :param acknowledged: number of the newest sum it has received from here.
     """
 
     data_centre: str
@@ -57,22 +57,22 @@
     sum: messages.LoadReport | None = None
 
     def forget(self) -> None:
-        """Drop a sum that says nothing any more; the next one is whole."""
+        """Drop an outdated sum; the next one to be accepted is complete."""
         self.sum = None
         self.engines = {}
         self.received = 0
 
     def update(self, load: messages.NodeLoad) -> bool:
-        """Take a newer sum; return whether it could be taken."""
+        """Apply a sum; return ``False`` if an earlier one is missing."""
         if load.since > self.received:
-            # One that was lost lies between; the next ones start earlier.
+            # The sender resumes from the last acknowledged sum.
             return False
         engines = {} if not load.since else dict(self.engines)
-        for ident, one in load.sum.engines.items():
-            if one == _loadtotals.NO_LOAD:
+        for ident, engine_load in load.sum.engines.items():
+            if engine_load == _loadtotals.NO_LOAD:
                 engines.pop(ident, None)
             else:
-                engines[ident] = one
+                engines[ident] = engine_load
         self.engines = engines
         self.received = load.number
         self.sum = attrs.evolve(load.sum, engines=engines)
@@ -80,7 +80,7 @@
 
 
 class LoadAggregator:
-    """The newest reports of all entries, those of others as sums.
+    """Aggregate of the newest reports of all entries.
 
     :param node: peer address of this process.
     :param incarnation: differs between starts of this process.
@@ -98,32 +98,33 @@
         self.events: collections.deque[_Event] = collections.deque()
         self.local = _loadtotals.LoadTotal()
         self.total = _loadtotals.LoadTotal()
-        # Entries whose changes cancel each other out see different changes.
-        self.touched: set[str] = set()
-        self.added_up = -1
+        # Changes of two entries may cancel out in the total, but not in the
+        # summary for either of them, which excludes its own load.
+        self.changed_engines: set[str] = set()
+        self.summed_number = -1
 
-    # What arrives
+    # Receiving
 
     def take(self, report: messages.LoadReport, now: float) -> bool:
-        """Take an entry's report; return whether it holds new events."""
+        """Add an entry's report; return whether it contains new events."""
         self.number += 1
-        known = self.reports.get(report.entry)
+        existing = self.reports.get(report.entry)
         self.reports[report.entry] = report
-        before = known.engines if known is not None else {}
-        self.touched.update(
+        previous = existing.engines if existing is not None else {}
+        self.changed_engines.update(
             ident
-            for ident in before.keys() | report.engines.keys()
-            if before.get(ident) != report.engines.get(ident)
+            for ident in previous.keys() | report.engines.keys()
+            if previous.get(ident) != report.engines.get(ident)
         )
-        return self._take_events(report, now, local=True)
+        return self._add_events(report, now, local=True)
 
     def forget(self, entry: str) -> None:
-        """Drop the report of an entry that is gone."""
+        """Remove the report of an entry that has left."""
         if self.reports.pop(entry, None):
             self.number += 1
 
     def take_node(self, load: messages.NodeLoad, now: float) -> bool:
-        """Take another process's sum; return whether it holds new events."""
+        """Add another process's sum; return whether it contains new events."""
         node = self.nodes.get(load.node)
         if node is None or node.incarnation != load.incarnation:
             node = _Node(load.data_centre, load.incarnation, now)
@@ -131,36 +132,36 @@
         node.at = now
         incarnation, number = load.acknowledged.get(self.node, (0, 0))
         node.acknowledged = number if incarnation == self.incarnation else 0
-        before = node.sum
+        previous = node.sum
         if not node.update(load):
             return False
-        self.number += before != node.sum
-        return self._take_events(load.sum, now, local=False)
+        self.number += previous != node.sum
+        return self._add_events(load.sum, now, local=False)
 
     def expire(self, now: float) -> bool:
-        """Drop old events and sums; return whether any sum was dropped."""
-        while self.events and now - self.events[0].at > EVENT_KEPT_S:
+        """Remove old events and sums; return whether any sum was removed."""
+        while self.events and now - self.events[0].at > EVENT_TTL_S:
             self.events.popleft()
         for address, node in list(self.nodes.items()):
-            if now - node.at > NODE_KEPT_S:
+            if now - node.at > NODE_TTL_S:
                 del self.nodes[address]
-        old = [
+        outdated = [
             node
             for node in self.nodes.values()
-            if node.sum is not None and now - node.at > SUM_KEPT_S
+            if node.sum is not None and now - node.at > SUM_TTL_S
         ]
-        for node in old:
+        for node in outdated:
             node.forget()
-        self.number += bool(old)
-        return bool(old)
+        self.number += bool(outdated)
+        return bool(outdated)
 
-    def _take_events(
+    def _add_events(
         self, report: messages.LoadReport, now: float, *, local: bool
     ) -> bool:
         if not report.urgent:
             return False
         self.expire(now)
-        known = {(e.lost, e.replaced, e.crash) for e in self.events}
+        existing = {(e.lost, e.replaced, e.crash) for e in self.events}
         events = [
             *(
                 _Event(self.number, now, local, lost=ident)
@@ -175,38 +176,38 @@
                 for crash in report.crashes
             ),
         ]
-        fresh = [
+        new_events = [
             event
             for event in events
-            if (event.lost, event.replaced, event.crash) not in known
+            if (event.lost, event.replaced, event.crash) not in existing
         ]
-        self.events.extend(fresh)
-        return bool(fresh)
+        self.events.extend(new_events)
+        return bool(new_events)
 
-    # What is published
+    # Publishing
 
     def others(
         self, entry: str, since: int, now: float = 0.0
     ) -> messages.LoadSummary:
-        """Return what all other entries have running.
+        """Return the load of all entries except one, as a summary.
 
         :param since: number of the summary that the entry has; 0 for none.
         """
-        self._add_up()
+        self._update_sums()
         total = self.total
         engines = total.changed_since(since)
         traffic, speeds = total.traffic, total.speeds
         own = self.reports.get(entry)
         if own is not None:
-            engines = _loadtotals.less_engines(engines, own.engines)
+            engines = _loadtotals.subtract_engines(engines, own.engines)
             traffic, speeds = dict(traffic), dict(speeds)
             _loadtotals.add_traffic(traffic, own.traffic, -1)
             _loadtotals.add_speeds(speeds, own.speeds, -1)
         if not since:
             engines = {
-                i: one
-                for i, one in engines.items()
-                if one != _loadtotals.NO_LOAD
+                i: engine_load
+                for i, engine_load in engines.items()
+                if engine_load != _loadtotals.NO_LOAD
             }
         events = [event for event in self.events if event.number > since]
         return messages.LoadSummary(
@@ -224,7 +225,7 @@
 
     def node_load(self, now: float) -> messages.NodeLoad:
         """Return the sum of this process's entries, for other processes."""
-        self._add_up()
+        self._update_sums()
         acknowledged = [
             node.acknowledged
             for node in self.nodes.values()
@@ -254,7 +255,7 @@
         )
 
     def live_nodes(self, now: float) -> list[str]:
-        """Return the addresses of processes that have lately sent sums."""
+        """Return the addresses of processes whose sums arrive."""
         return [a for a, node in self.nodes.items() if _is_live(node, now)]
 
     def silent(self, now: float) -> list[str]:
@@ -264,11 +265,11 @@
             for node in self.nodes.values()
             if _is_live(node, now)
         }
-        known = {node.data_centre for node in self.nodes.values()}
-        return sorted(known - live - {self.data_centre})
+        existing = {node.data_centre for node in self.nodes.values()}
+        return sorted(existing - live - {self.data_centre})
 
     def age_s(self, now: float) -> float:
-        """Return the age of the oldest sum that isn't missing, in seconds."""
+        """Return the age in seconds of the oldest sum that still counts."""
         ages = [
             now - node.at
             for node in self.nodes.values()
@@ -276,11 +277,11 @@
         ]
         return round(max(ages, default=0.0), 3)
 
-    def _add_up(self) -> None:
-        """Add up all reports and sums, once for all that ask."""
-        if self.added_up == self.number:
+    def _update_sums(self) -> None:
+        """Recompute the sums, once for all readers."""
+        if self.summed_number == self.number:
             return
-        self.added_up = self.number
+        self.summed_number = self.number
         local = _loadtotals.LoadTotal()
         for report in self.reports.values():
             local.add(report, 1)
@@ -289,9 +290,9 @@
             if node.sum is not None:
                 total.add(node.sum, 1)
         self.local.replace(local, self.number)
-        self.total.replace(total, self.number, self.touched)
-        self.touched.clear()
+        self.total.replace(total, self.number, self.changed_engines)
+        self.changed_engines.clear()
 
 
 def _is_live(node: _Node, now: float) -> bool:
-    return now - node.at <= SILENT_AFTER_S
+    return now - node.at <= SUM_MISSING_AFTER_S
--- a/src/bulrushhold/decisions/_loadtotals.py
+++ b/src/bulrushhold/decisions/_loadtotals.py
@@ -1,4 +1,4 @@
-"""Sums of load reports, and what changed in them since some time."""
+"""Sums of load reports, and the changes between two versions of them."""
 
 import collections.abc as cabc
 import typing as t
@@ -6,14 +6,14 @@
 from bulrushhold.decisions import _speeds
 from bulrushhold import messages
 
-# Changes of engines that are gone, for entries that were out of touch.
-CHANGES_KEPT: t.Final = 2000
+# Upper bound of recorded changes; older ones of removed engines are dropped.
+MAX_CHANGES: t.Final = 2000
 NO_LOAD: t.Final = messages.EngineLoad(0, 0)
 NO_TRAFFIC: t.Final = messages.ServiceTraffic(0, 0)
 
 
 class LoadTotal:
-    """A sum of reports, without their events.
+    """Sum of load reports, without their events.
 
     :ivar changed: by engine, number of the sum in which its load changed.
     """
@@ -23,10 +23,10 @@
         self.traffic: dict[str, messages.ServiceTraffic] = {}
         self.speeds: dict[str, messages.EngineSpeed] = {}
         self.changed: dict[str, int] = {}
-        self.differences: dict[int, dict[str, messages.EngineLoad]] = {}
+        self.deltas: dict[int, dict[str, messages.EngineLoad]] = {}
 
     def copy(self) -> 'LoadTotal':
-        """Return a sum of its own."""
+        """Return an independent copy of the figures, without changes."""
         total = LoadTotal()
         total.engines = dict(self.engines)
         total.traffic = dict(self.traffic)
@@ -34,60 +34,64 @@
         return total
 
     def replace(
-        self, new: 'LoadTotal', number: int, touched: cabc.Iterable[str] = ()
+        self,
+        new: 'LoadTotal',
+        number: int,
+        also_changed: cabc.Iterable[str] = (),
     ) -> None:
-        """Take newer figures, and note which engines they change.
+        """Replace the figures and record which engines changed.
 
-        :param touched: engines that count as changed in any case.
+        :param also_changed: engines recorded as changed in any case.
         """
-        self.changed.update(dict.fromkeys(touched, number))
+        self.changed.update(dict.fromkeys(also_changed, number))
         for ident in self.engines.keys() | new.engines.keys():
             if self.engines.get(ident) != new.engines.get(ident):
                 self.changed[ident] = number
-        if len(self.changed) > CHANGES_KEPT:
-            self._forget_gone(new, number)
-        self.differences.clear()
+        if len(self.changed) > MAX_CHANGES:
+            self._prune_changes(new, number)
+        self.deltas.clear()
         self.engines = new.engines
         self.traffic = new.traffic
         self.speeds = new.speeds
 
-    def _forget_gone(self, new: 'LoadTotal', number: int) -> None:
+    def _prune_changes(self, new: 'LoadTotal', number: int) -> None:
         self.changed = {
             ident: at
             for ident, at in self.changed.items()
-            if ident in new.engines or number - at < CHANGES_KEPT
+            if ident in new.engines or number - at < MAX_CHANGES
         }
 
     def changed_since(self, number: int) -> dict[str, messages.EngineLoad]:
-        """Return engines whose load changed; zero where nothing is left.
+        """Return the load of changed engines; zero for removed ones.
 
-        Kept until the next change, since most entries have the same one.
+        The result is cached until the next change: most entries ask for the
+        same one.
         """
-        if number not in self.differences:
-            self.differences[number] = {
+        if number not in self.deltas:
+            self.deltas[number] = {
                 ident: self.engines.get(ident, NO_LOAD)
                 for ident, at in self.changed.items()
                 if at > number
             }
-        return self.differences[number]
+        return self.deltas[number]
 
     def add(self, report: messages.LoadReport, sign: int) -> None:
-        """Add a report, or take it off."""
+        """Add a report, or subtract it if ``sign`` is -1."""
         _add_engines(self.engines, report.engines, sign)
         add_traffic(self.traffic, report.traffic, sign)
         add_speeds(self.speeds, report.speeds, sign)
 
 
-def less_engines(
+def subtract_engines(
     engines: dict[str, messages.EngineLoad],
     own: dict[str, messages.EngineLoad],
 ) -> dict[str, messages.EngineLoad]:
-    """Return loads less those of one entry, for the engines that are there."""
-    mine = {ident: one for ident, one in own.items() if ident in engines}
-    if not mine:
+    """Return loads minus one entry's own, limited to the engines given."""
+    own_loads = {ident: one for ident, one in own.items() if ident in engines}
+    if not own_loads:
         return engines
     others = dict(engines)
-    _add_engines(others, mine, -1)
+    _add_engines(others, own_loads, -1)
     return others
 
 
@@ -110,7 +114,7 @@
     more: dict[str, messages.ServiceTraffic],
     sign: int,
 ) -> None:
-    """Add requests by service to totals, or take them off."""
+    """Add requests by service to totals, or subtract them."""
     for service, one in more.items():
         known = totals.get(service, NO_TRAFFIC)
         totals[service] = messages.ServiceTraffic(
@@ -125,7 +129,7 @@
     more: dict[str, messages.EngineSpeed],
     sign: int,
 ) -> None:
-    """Add speeds by service to totals, or take them off."""
+    """Add speed samples by service to totals, or subtract them."""
     for service, speed in more.items():
-        known = totals.get(service, _speeds.NOTHING)
+        known = totals.get(service, _speeds.NO_SAMPLES)
         totals[service] = _speeds.add(known, speed, sign)
