--- a/src/bulrushhold/decisions/_claims.py
+++ b/src/bulrushhold/decisions/_claims.py
@@ -73,14 +73,14 @@
     def forget(self, before: float) -> int:
         """Move the watermark, forward only; return claims dropped."""
         self.watermark = max(self.watermark, before)
-        old = [
+        expired = [
             key
             for key, record in self.records.items()
             if record.key_time < self.watermark
         ]
-        for key in old:
+        for key in expired:
             del self.records[key]
-        return len(old)
+        return len(expired)
 
 
 def _outcome(record: ClaimRecord, *, granted: bool) -> messages.ClaimOutcome:
--- a/src/bulrushhold/decisions/_controlservers.py
+++ b/src/bulrushhold/decisions/_controlservers.py
@@ -10,7 +10,7 @@
 from bulrushhold import messages
 
 # For how long one that gave no answer is asked only if all gave none.
-SHUN_S: t.Final = 2.0
+FAILURE_BACKOFF_S: t.Final = 2.0
 
 
 class ControlServers:
@@ -58,30 +58,35 @@
         for group in self._groups():
             if current in group:
                 return current
-            good = [a for a in group if not self._is_shunned(a, now)]
-            if good:
-                return self.rng.choice(sorted(good))
+            available = [a for a in group if not self._in_backoff(a, now)]
+            if available:
+                return self.rng.choice(sorted(available))
         return self.rng.choice(sorted({*self.seeds, *self.core}))
 
     def _groups(self) -> list[set[str]]:
-        near = [n for n in self.nodes if n.data_centre == self.data_centre]
-        known = {node.address for node in self.nodes}
+        local_nodes = [
+            n for n in self.nodes if n.data_centre == self.data_centre
+        ]
+        addresses = {node.address for node in self.nodes}
         return [
-            _best_of(near),
-            {node.address for node in near},
+            _fastest_addresses(local_nodes),
+            {node.address for node in local_nodes},
             {self.leader} - {''},
-            known,
-            {*self.seeds, *self.core, *known},
+            addresses,
+            {*self.seeds, *self.core, *addresses},
         ]
 
-    def _is_shunned(self, address: str, now: float) -> bool:
-        return now - self.failed_at.get(address, float('-inf')) < SHUN_S
+    def _in_backoff(self, address: str, now: float) -> bool:
+        return (
+            now - self.failed_at.get(address, float('-inf'))
+            < FAILURE_BACKOFF_S
+        )
 
 
-def _best_of(nodes: list[messages.ControlNode]) -> set[str]:
-    best = max(map(_order, nodes), default=None)
-    return {node.address for node in nodes if _order(node) == best}
+def _fastest_addresses(nodes: list[messages.ControlNode]) -> set[str]:
+    best = max(map(_preference, nodes), default=None)
+    return {node.address for node in nodes if _preference(node) == best}
 
 
-def _order(node: messages.ControlNode) -> tuple[float, bool]:
+def _preference(node: messages.ControlNode) -> tuple[float, bool]:
     return node.link_mbps, not node.replica
--- a/src/bulrushhold/decisions/_fairqueue.py
+++ b/src/bulrushhold/decisions/_fairqueue.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-RATE_GAIN: t.Final = 0.1
+INTERVAL_GAIN: t.Final = 0.1
 
 
 @attrs.define
@@ -22,7 +22,7 @@
     """
 
     weight: float
-    finish: float = 0.0
+    finish_time: float = 0.0
     items: collections.deque[tuple[float, t.Any]] = attrs.field(
         factory=collections.deque
     )
@@ -35,9 +35,9 @@
         self.capacity = capacity
         self.running = 0
         self.flows: dict[str, _Flow] = {}
-        self.virtual = 0.0
-        self.spacing = 0.0
-        self.ended_at: float | None = None
+        self.virtual_time = 0.0
+        self.completion_interval_s = 0.0
+        self.last_completion_at: float | None = None
 
     @property
     def waiting(self) -> int:
@@ -61,7 +61,7 @@
             return None
         best = min(
             (
-                (max(flow.finish, self.virtual), name)
+                (max(flow.finish_time, self.virtual_time), name)
                 for name, flow in self.flows.items()
                 if flow.items and ready(name)
             ),
@@ -72,8 +72,8 @@
         start, name = best
         flow = self.flows[name]
         cost, item = flow.items.popleft()
-        flow.finish = start + cost / flow.weight
-        self.virtual = start
+        flow.finish_time = start + cost / flow.weight
+        self.virtual_time = start
         self.running += 1
         return item
 
@@ -93,12 +93,14 @@
         self.running -= 1
         flow = self.flows.get(name)
         if flow is not None:
-            flow.finish += (actual - expected) / flow.weight
-        if self.ended_at is not None:
-            gap = now - self.ended_at
-            self.spacing += RATE_GAIN * (gap - self.spacing)
-        self.ended_at = now
-        self._forget_idle()
+            flow.finish_time += (actual - expected) / flow.weight
+        if self.last_completion_at is not None:
+            interval_s = now - self.last_completion_at
+            self.completion_interval_s += INTERVAL_GAIN * (
+                interval_s - self.completion_interval_s
+            )
+        self.last_completion_at = now
+        self._drop_idle_flows()
 
     def expected_wait(self, name: str, weight: float) -> float:
         """Return seconds that a new request of a flow will wait.
@@ -113,14 +115,16 @@
         others = sum(
             f.weight for n, f in self.flows.items() if f.items and n != name
         )
-        return (own + 1) * self.spacing * (weight + others) / weight
+        return (
+            (own + 1) * self.completion_interval_s * (weight + others) / weight
+        )
 
-    def _forget_idle(self) -> None:
+    def _drop_idle_flows(self) -> None:
         """Drop flows that owe nothing; they start at the present time."""
         idle = [
             name
             for name, flow in self.flows.items()
-            if not flow.items and flow.finish <= self.virtual
+            if not flow.items and flow.finish_time <= self.virtual_time
         ]
         for name in idle:
             del self.flows[name]
--- a/src/bulrushhold/decisions/_homes.py
+++ b/src/bulrushhold/decisions/_homes.py
@@ -37,8 +37,8 @@
     Where there are fewer data centres than homes, the best of the rest
     follow.
     """
-    order = ranked(key, entries, lambda entry: entry.name)
-    return _spread(order, count, set())
+    ranking = ranked(key, entries, lambda entry: entry.name)
+    return _spread_over_data_centres(ranking, count, set())
 
 
 def copy_peers(
@@ -51,20 +51,20 @@
     peers; with few peers, one message carries a batch of streams.
     """
     others = [entry for entry in entries if entry.name != own.name]
-    order = ranked(f'copies of {own.name}', others, lambda e: e.name)
-    return _spread(order, count, {own.data_centre})
+    ranking = ranked(f'copies of {own.name}', others, lambda e: e.name)
+    return _spread_over_data_centres(ranking, count, {own.data_centre})
 
 
-def _spread(
-    order: list[ports.Instance], count: int, used: set[str]
+def _spread_over_data_centres(
+    ranking: list[ports.Instance], count: int, used_data_centres: set[str]
 ) -> list[ports.Instance]:
     chosen: list[ports.Instance] = []
-    used = set(used)
-    for entry in order:
-        if entry.data_centre not in used and len(chosen) < count:
+    used_data_centres = set(used_data_centres)
+    for entry in ranking:
+        if entry.data_centre not in used_data_centres and len(chosen) < count:
             chosen.append(entry)
-            used.add(entry.data_centre)
-    rest = [entry for entry in order if entry not in chosen]
+            used_data_centres.add(entry.data_centre)
+    rest = [entry for entry in ranking if entry not in chosen]
     return chosen + rest[: max(0, count - len(chosen))]
 
 
@@ -94,6 +94,8 @@
     :param near: the caller's data centre, whose entries come first.
     """
     count = max(SMALL_ACCOUNT_ENTRIES, entries_wanted(share, len(entries)))
-    order = ranked(f'entries of {account}', entries, lambda e: e.name)
-    chosen = _spread(order, min(count, len(entries)), set())
+    ranking = ranked(f'entries of {account}', entries, lambda e: e.name)
+    chosen = _spread_over_data_centres(
+        ranking, min(count, len(entries)), set()
+    )
     return sorted(chosen, key=lambda entry: entry.data_centre != near)
--- a/src/bulrushhold/decisions/_lifecycle.py
+++ b/src/bulrushhold/decisions/_lifecycle.py
@@ -16,17 +16,21 @@
     'cancelled',
     'fenced',
 )
-FINAL: t.Final = frozenset(('finished', 'refused', 'cancelled', 'fenced'))
-_LIVE: t.Final = [state for state in STATES if state not in FINAL]
-_MOVES: t.Final = [
+FINAL_STATES: t.Final = frozenset(
+    ('finished', 'refused', 'cancelled', 'fenced')
+)
+_ACTIVE_STATES: t.Final = [
+    state for state in STATES if state not in FINAL_STATES
+]
+_TRANSITIONS: t.Final = [
     ['queue', 'accepted', 'queued'],
     ['dispatch', ['accepted', 'queued', 'recovering'], 'dispatched'],
     ['stream', ['dispatched', 'recovering'], 'streaming'],
     ['lose', ['dispatched', 'streaming'], 'recovering'],
-    ['finish', _LIVE, 'finished'],
-    ['refuse', _LIVE, 'refused'],
-    ['cancel', _LIVE, 'cancelled'],
-    ['fence', _LIVE, 'fenced'],
+    ['finish', _ACTIVE_STATES, 'finished'],
+    ['refuse', _ACTIVE_STATES, 'refused'],
+    ['cancel', _ACTIVE_STATES, 'cancelled'],
+    ['fence', _ACTIVE_STATES, 'fenced'],
 ]
 
 
@@ -48,13 +52,13 @@
     @property
     def ended(self) -> bool:
         """Whether the generation has its final state."""
-        return self.state in FINAL
+        return self.state in FINAL_STATES
 
 
 _MACHINE = transitions.Machine(
     model=None,
     states=list(STATES),
-    transitions=_MOVES,
+    transitions=_TRANSITIONS,
     initial='accepted',
     auto_transitions=False,
 )
