--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -23,8 +23,12 @@
 from bulrushhold.decisions._members import next_config
 from bulrushhold.decisions._members import with_learner
 from bulrushhold.decisions._membership import Membership
-from bulrushhold.decisions._membership import PERIOD_S as MEMBERSHIP_PERIOD_S
-from bulrushhold.decisions._membership import PROBE_S as MEMBERSHIP_PROBE_S
+from bulrushhold.decisions._membership import (
+    PROBE_TIMEOUT_S as MEMBERSHIP_PROBE_S,
+)
+from bulrushhold.decisions._membership import (
+    PROTOCOL_PERIOD_S as MEMBERSHIP_PERIOD_S,
+)
 from bulrushhold.decisions._patience import leave_unread_s
 from bulrushhold.decisions._patience import Patience
 from bulrushhold.decisions._placed import Placed
--- a/src/bulrushhold/decisions/_members.py
+++ b/src/bulrushhold/decisions/_members.py
@@ -11,10 +11,10 @@
 
 # Ten lost beats and an election's length: longer than any pause of a process
 # that merely syncs or is short of processor time.
-DEAD_S: t.Final = 1.5
+VOTER_TIMEOUT_S: t.Final = 1.5
 # A learner that answered within this time can be relied on for the next
 # majority.
-RECENT_S: t.Final = 1.0
+LEARNER_TIMEOUT_S: t.Final = 1.0
 
 
 @attrs.frozen
@@ -52,7 +52,7 @@
 
 
 def next_config(
-    replica: _replica.Replica, now: float | None = None, wanted: int = 0
+    replica: _replica.Replica, now: float | None = None, voter_count: int = 0
 ) -> MemberChange | None:
     """Return the next step of a replacement or repair, if one is due.
 
@@ -66,17 +66,19 @@
         and a voter that is silent is replaced by one.
     """
     config = replica.config
-    leaves = _leaving_voter(replica, now, wanted)
-    if leaves is not None:
-        ident, reason = leaves
+    removal = _voter_to_remove(replica, now, voter_count)
+    if removal is not None:
+        ident, reason = removal
         voters = dict(config.voters)
         del voters[ident]
         return MemberChange(attrs.evolve(config, voters=voters), reason)
-    short = len(config.voters) < wanted
-    short = short or bool(_silent_voters(replica, now))
+    needs_voter = len(config.voters) < voter_count
+    needs_voter = needs_voter or bool(_unresponsive_voters(replica, now))
     for ident, address in config.learners.items():
-        returns = instance_name(ident) in map(instance_name, config.voters)
-        if (short or returns or not wanted) and _caught_up(
+        replaces_voter = instance_name(ident) in map(
+            instance_name, config.voters
+        )
+        if (needs_voter or replaces_voter or not voter_count) and _caught_up(
             replica, ident, now
         ):
             learners = dict(config.learners)
@@ -89,27 +91,31 @@
     return None
 
 
-def _leaving_voter(
-    replica: _replica.Replica, now: float | None, wanted: int
+def _voter_to_remove(
+    replica: _replica.Replica, now: float | None, voter_count: int
 ) -> tuple[str, str] | None:
-    retired = _retired_voter(replica.config)
-    if retired is not None:
-        return retired, f'{retired} was replaced; its disk is gone'
-    if wanted and len(replica.config.voters) > wanted:
-        silent = _silent_voters(replica, now)
-        if silent:
-            return silent[0], f'{silent[0]} is silent and was replaced'
+    replaced = _replaced_voter(replica.config)
+    if replaced is not None:
+        return replaced, f'{replaced} was replaced; its disk is gone'
+    if voter_count and len(replica.config.voters) > voter_count:
+        unresponsive = _unresponsive_voters(replica, now)
+        if unresponsive:
+            return unresponsive[
+                0
+            ], f'{unresponsive[0]} is silent and was replaced'
     return None
 
 
-def _silent_voters(replica: _replica.Replica, now: float | None) -> list[str]:
+def _unresponsive_voters(
+    replica: _replica.Replica, now: float | None
+) -> list[str]:
     if now is None:
         return []
     return [
         ident
         for ident in replica.config.voters
         if ident in replica.progress
-        and now - replica.progress[ident].acked_at > DEAD_S
+        and now - replica.progress[ident].acked_at > VOTER_TIMEOUT_S
     ]
 
 
@@ -125,16 +131,16 @@
     return (
         progress is not None
         and progress.match >= replica.commit
-        and (now is None or now - progress.acked_at < RECENT_S)
+        and (now is None or now - progress.acked_at < LEARNER_TIMEOUT_S)
     )
 
 
-def _retired_voter(config: messages.Config) -> str | None:
+def _replaced_voter(config: messages.Config) -> str | None:
     """Return the elder of two voters of one instance."""
-    seen: dict[str, str] = {}
+    voter_by_instance: dict[str, str] = {}
     for ident in config.voters:
         name = instance_name(ident)
-        if name in seen:
-            return seen[name]
-        seen[name] = ident
+        if name in voter_by_instance:
+            return voter_by_instance[name]
+        voter_by_instance[name] = ident
     return None
--- a/src/bulrushhold/decisions/_membership.py
+++ b/src/bulrushhold/decisions/_membership.py
@@ -17,12 +17,12 @@
 from bulrushhold import messages
 from bulrushhold import ports
 
-PERIOD_S: t.Final = 1.0
-PROBE_S: t.Final = 0.3
-SUSPICION_S: t.Final = 2.0
-HELPERS: t.Final = 3
-NEWS_PER_MESSAGE: t.Final = 6
-SPREAD_FACTOR: t.Final = 3
+PROTOCOL_PERIOD_S: t.Final = 1.0
+PROBE_TIMEOUT_S: t.Final = 0.3
+SUSPICION_TIMEOUT_S: t.Final = 2.0
+INDIRECT_PROBES: t.Final = 3
+UPDATES_PER_MESSAGE: t.Final = 6
+RETRANSMIT_FACTOR: t.Final = 3
 
 
 class Status(enum.StrEnum):
@@ -34,7 +34,9 @@
     DEAD = 'dead'
 
 
-_RANK: t.Final = {status: rank for rank, status in enumerate(Status)}
+_SEVERITY: t.Final = {
+    status: severity for severity, status in enumerate(Status)
+}
 
 
 @attrs.define
@@ -44,15 +46,15 @@
     instance: ports.Instance
     incarnation: int = 0
     status: Status = Status.ALIVE
-    since: float = 0.0
+    status_since: float = 0.0
 
 
 @attrs.define
-class _News:
+class _QueuedUpdate:
     """Something to be told, a bounded number of times."""
 
     item: messages.MemberNews
-    left: int
+    remaining_sends: int
 
 
 class Membership:
@@ -69,15 +71,15 @@
         self.status = Status.ALIVE
         self.rng = rng
         self.members: dict[str, _Member] = {}
-        self.round: list[str] = []
-        self.news: dict[str, _News] = {}
+        self.probe_order: list[str] = []
+        self.update_queue: dict[str, _QueuedUpdate] = {}
 
     def update_list(self, entries: cabc.Iterable[ports.Instance]) -> None:
         """Take in the platform's list of entries."""
         listed = {e.name: e for e in entries if e.name != self.name}
         for name in self.members.keys() - listed.keys():
             del self.members[name]
-            self.news.pop(name, None)
+            self.update_queue.pop(name, None)
         for name, instance in listed.items():
             member = self.members.get(name)
             if member is None:
@@ -101,23 +103,23 @@
         The dead are probed too, so that both sides of a healed cut meet.
         """
         while True:
-            if not self.round:
-                self.round = list(self.members)
-                self.rng.shuffle(self.round)
-            if not self.round:
+            if not self.probe_order:
+                self.probe_order = list(self.members)
+                self.rng.shuffle(self.probe_order)
+            if not self.probe_order:
                 return None
-            member = self.members.get(self.round.pop())
+            member = self.members.get(self.probe_order.pop())
             if member is not None:
                 return member.instance
 
     def helpers(self, target: str) -> list[ports.Instance]:
         """Return others who are to probe a silent target."""
-        able = [
+        alive = [
             member.instance
             for name, member in self.members.items()
             if name != target and member.status is Status.ALIVE
         ]
-        return self.rng.sample(able, min(HELPERS, len(able)))
+        return self.rng.sample(alive, min(INDIRECT_PROBES, len(alive)))
 
     def answered(self, name: str, now: float) -> None:
         """Learn that an entry answered a probe itself."""
@@ -125,28 +127,34 @@
         if member is not None and member.status is Status.SUSPECT:
             # Only the suspect's own word, with a higher incarnation, ends
             # the suspicion elsewhere; here its answer is enough.
-            self._set(name, member, member.incarnation, Status.ALIVE, now)
+            self._set_status(
+                name, member, member.incarnation, Status.ALIVE, now
+            )
 
     def silent(self, name: str, now: float) -> None:
         """Learn that an entry answered neither us nor the helpers."""
         member = self.members.get(name)
         if member is not None and member.status is Status.ALIVE:
-            self._set(name, member, member.incarnation, Status.SUSPECT, now)
+            self._set_status(
+                name, member, member.incarnation, Status.SUSPECT, now
+            )
 
     def tick(self, now: float) -> None:
         """Take suspects for dead whose time is over."""
         for name, member in self.members.items():
             if (
                 member.status is Status.SUSPECT
-                and now >= member.since + SUSPICION_S
+                and now >= member.status_since + SUSPICION_TIMEOUT_S
             ):
-                self._set(name, member, member.incarnation, Status.DEAD, now)
+                self._set_status(
+                    name, member, member.incarnation, Status.DEAD, now
+                )
 
     def hear(
-        self, news: cabc.Iterable[messages.MemberNews], now: float
+        self, updates: cabc.Iterable[messages.MemberNews], now: float
     ) -> None:
         """Take in news; a higher incarnation wins, then the graver word."""
-        for item in news:
+        for item in updates:
             status = Status(item.status)
             if item.name == self.name:
                 self._refute(item, status)
@@ -154,43 +162,47 @@
             member = self.members.get(item.name)
             if member is None:
                 continue
-            newer = (item.incarnation, _RANK[status]) > (
+            newer = (item.incarnation, _SEVERITY[status]) > (
                 member.incarnation,
-                _RANK[member.status],
+                _SEVERITY[member.status],
             )
             if newer:
-                self._set(item.name, member, item.incarnation, status, now)
+                self._set_status(
+                    item.name, member, item.incarnation, status, now
+                )
 
     def tell(self) -> list[messages.MemberNews]:
         """Return news for one message; the own word always goes along."""
-        told = [self._own()]
-        fresh = sorted(
-            self.news.items(), key=lambda pair: pair[1].left, reverse=True
+        outgoing = [self._own_update()]
+        queued = sorted(
+            self.update_queue.items(),
+            key=lambda pair: pair[1].remaining_sends,
+            reverse=True,
         )
-        for name, news in fresh[:NEWS_PER_MESSAGE]:
-            told.append(news.item)
-            news.left -= 1
-            if news.left <= 0:
-                del self.news[name]
-        return told
+        for name, update in queued[:UPDATES_PER_MESSAGE]:
+            outgoing.append(update.item)
+            update.remaining_sends -= 1
+            if update.remaining_sends <= 0:
+                del self.update_queue[name]
+        return outgoing
 
     def leave(self) -> messages.MemberNews:
         """Say that this entry takes nothing new, and return the news."""
         self.incarnation += 1
         self.status = Status.LEAVING
-        return self._own()
+        return self._own_update()
 
-    def _own(self) -> messages.MemberNews:
+    def _own_update(self) -> messages.MemberNews:
         return messages.MemberNews(
             self.name, self.incarnation, self.status.value
         )
 
     def _refute(self, item: messages.MemberNews, status: Status) -> None:
-        wrong = status is not self.status
-        if wrong and item.incarnation >= self.incarnation:
+        incorrect = status is not self.status
+        if incorrect and item.incarnation >= self.incarnation:
             self.incarnation = item.incarnation + 1
 
-    def _set(
+    def _set_status(
         self,
         name: str,
         member: _Member,
@@ -200,7 +212,7 @@
     ) -> None:
         member.incarnation = incarnation
         member.status = status
-        member.since = now
-        times = SPREAD_FACTOR * math.ceil(math.log2(len(self.members) + 2))
+        member.status_since = now
+        sends = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self.members) + 2))
         item = messages.MemberNews(name, incarnation, status.value)
-        self.news[name] = _News(item, times)
+        self.update_queue[name] = _QueuedUpdate(item, sends)
