--- a/src/bulrushhold/decisions/_quota.py
+++ b/src/bulrushhold/decisions/_quota.py
@@ -32,7 +32,7 @@
     want: float
     rate: float = 0.0
     slots: int = 0
-    until: float = 0.0
+    expires_at: float = 0.0
 
 
 class QuotaHome:
@@ -43,11 +43,11 @@
 
     def __init__(self, now: float) -> None:
         self.rows: dict[str, dict[str, _Holder]] = {}
-        self.open_at = now + LEASE_S
+        self.grants_allowed_at = now + LEASE_S
 
     def homes_changed(self, now: float) -> None:
         """Learn that rows may have come here from other homes."""
-        self.open_at = now + LEASE_S
+        self.grants_allowed_at = now + LEASE_S
 
     def grant(
         self, ask: messages.QuotaAsk, row: messages.Row, now: float
@@ -58,10 +58,10 @@
         have had another home, whose leases are still in use: the wait of
         one lease time outlasts all of them.
         """
-        known = ask.row in self.rows
+        has_leases = ask.row in self.rows
         holders = self.rows.setdefault(ask.row, {})
         self._expire(holders, now)
-        if not known and now < self.open_at:
+        if not has_leases and now < self.grants_allowed_at:
             del self.rows[ask.row]
             return messages.QuotaGrant(0.0, 0, LEASE_S)
         holder = holders.setdefault(ask.holder, _Holder(ask.want))
@@ -79,11 +79,11 @@
         # What runs there already counts until it ends, but the holder is
         # not to start anything in its place.
         holder.slots = max(slots, ask.running)
-        holder.until = now + LEASE_S
+        holder.expires_at = now + LEASE_S
         return messages.QuotaGrant(holder.rate, slots, LEASE_S)
 
     def _expire(self, holders: dict[str, _Holder], now: float) -> None:
-        for name in [n for n, h in holders.items() if now >= h.until]:
+        for name in [n for n, h in holders.items() if now >= h.expires_at]:
             del holders[name]
 
     def forget(self, now: float) -> None:
@@ -127,37 +127,37 @@
 
     def take_grant(self, grant: messages.QuotaGrant, sent: float) -> None:
         """Take in a lease that was asked for at ``sent``."""
-        self._fill(sent)
+        self._refill(sent)
         self.rate = grant.rate
         self.slots = grant.slots
         self.granted_from = sent
 
     def allows(self, now: float) -> bool:
         """Whether one more request may start now."""
-        self._fill(now)
-        if self.row.concurrency and self.running >= self._slots(now):
+        self._refill(now)
+        if self.row.concurrency and self.running >= self._slot_limit(now):
             return False
         return not self.row.token_rate or self.tokens > 0
 
     def start(self, expected: float, now: float) -> None:
         """Count a request that starts, with its expected tokens."""
-        self._fill(now)
+        self._refill(now)
         self.running += 1
         self.used_at = now
         self.tokens -= expected
 
     def finish(self, expected: float, actual: float, now: float) -> None:
         """Count its end, and settle what was expected."""
-        self._fill(now)
+        self._refill(now)
         self.running -= 1
         self.used_at = now
         self.tokens += expected - actual
 
     def retry_after(self, now: float) -> float:
         """Return seconds until tokens are there again."""
-        self._fill(now)
+        self._refill(now)
         if self.row.token_rate and self.tokens <= 0:
-            rate = max(self._rate(now), self.row.token_rate * 0.01)
+            rate = max(self._rate_limit(now), self.row.token_rate * 0.01)
             return max(1.0, -self.tokens / rate)
         return LEASE_S
 
@@ -168,11 +168,11 @@
 
     def slots_now(self, now: float) -> int:
         """Return the requests at once that may run now."""
-        return self._slots(now)
+        return self._slot_limit(now)
 
     def leased(self, now: float) -> bool:
         """Whether a lease with any slots is in force."""
-        return self.slots > 0 and self._leased(now)
+        return self.slots > 0 and self._lease_active(now)
 
     @property
     def running_on_lease(self) -> int:
@@ -184,21 +184,21 @@
         """Whether the row has any limit."""
         return bool(self.row.concurrency or self.row.token_rate)
 
-    def _leased(self, now: float) -> bool:
+    def _lease_active(self, now: float) -> bool:
         return now < self.granted_from + LEASE_S
 
-    def _rate(self, now: float) -> float:
+    def _rate_limit(self, now: float) -> float:
         floor = self.row.token_rate * FLOOR_SHARE / max(1, self.entries)
-        return floor + (self.rate if self._leased(now) else 0.0)
+        return floor + (self.rate if self._lease_active(now) else 0.0)
 
-    def _slots(self, now: float) -> int:
+    def _slot_limit(self, now: float) -> int:
         floor = floor_slots(self.row, self.entries)
-        return floor + (self.slots if self._leased(now) else 0)
+        return floor + (self.slots if self._lease_active(now) else 0)
 
-    def _fill(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         if now <= self.filled_at:
             return
-        rate = self._rate(now)
-        earned = rate * min(now - self.filled_at, BURST_S)
-        self.tokens = min(self.tokens + earned, max(1.0, rate * BURST_S))
+        rate = self._rate_limit(now)
+        refill = rate * min(now - self.filled_at, BURST_S)
+        self.tokens = min(self.tokens + refill, max(1.0, rate * BURST_S))
         self.filled_at = now
--- a/src/bulrushhold/decisions/_raftlog.py
+++ b/src/bulrushhold/decisions/_raftlog.py
@@ -18,7 +18,7 @@
     ) -> None:
         self.snapshot = snapshot
         self.entries = entries
-        self.read_config()
+        self.refresh_config()
 
     @property
     def last_index(self) -> int:
@@ -54,19 +54,19 @@
         """Add the next entry."""
         self.entries.append(entry)
         if entry.kind == messages.KIND_CONFIG:
-            self.read_config()
+            self.refresh_config()
 
     def truncate(self, index: int) -> None:
         """Drop the entry at ``index`` and all after it."""
         del self.entries[index - self.snapshot.index - 1 :]
         if self.config_index >= index:
-            self.read_config()
+            self.refresh_config()
 
     def replace(self, snapshot: messages.InstallSnapshot) -> None:
         """Let a snapshot stand for everything."""
         self.snapshot = snapshot
         self.entries = []
-        self.read_config()
+        self.refresh_config()
 
     def compact(
         self, index: int, term: int, ident: str, state: bytes
@@ -101,14 +101,14 @@
                 return entry.data.decode()
         return ''
 
-    def read_config(self) -> None:
+    def refresh_config(self) -> None:
         """Take the members from the last configuration in the log."""
         self.config_index = self.snapshot.index
         self.config = self.snapshot.config
         for entry in reversed(self.entries):
             if entry.kind == messages.KIND_CONFIG:
                 self.config_index = entry.index
-                self.config = _members(entry)
+                self.config = _decode_config(entry)
                 return
 
     def config_at(self, index: int) -> messages.Config:
@@ -118,9 +118,9 @@
             if entry.index > index:
                 break
             if entry.kind == messages.KIND_CONFIG:
-                config = _members(entry)
+                config = _decode_config(entry)
         return config
 
 
-def _members(entry: messages.LogEntry) -> messages.Config:
+def _decode_config(entry: messages.LogEntry) -> messages.Config:
     return msgspec.msgpack.decode(entry.data, type=messages.Config)
--- a/src/bulrushhold/decisions/_recovery.py
+++ b/src/bulrushhold/decisions/_recovery.py
@@ -33,12 +33,12 @@
             self.mean += _MEAN_GAIN * error
         self.samples += 1
 
-    def limit(self, factor: float, least: float, most: float) -> float:
+    def limit(self, factor: float, minimum: float, maximum: float) -> float:
         """Return the silence, in seconds, after which to act."""
         if self.samples < 8:
-            return most
+            return maximum
         expected = self.mean + 4 * self.deviation
-        return min(most, max(least, factor * expected))
+        return min(maximum, max(minimum, factor * expected))
 
 
 class Action(enum.StrEnum):
@@ -160,11 +160,11 @@
     bounded by the budget; without it, this policy is the thrifty one.
     """
 
-    EARLY: float = 0.4
+    HEDGE_FRACTION: float = 0.4
 
     def check_after(self, gaps: GapEstimate, *, started: bool) -> float:
         """Return a part of the silence that counts as a loss."""
-        return self.EARLY * self.loss_after(gaps, started=started)
+        return self.HEDGE_FRACTION * self.loss_after(gaps, started=started)
 
     def on_silence(
         self,
@@ -178,8 +178,8 @@
         """Reserve early, within the budget; replace at the loss."""
         if silence >= self.loss_after(gaps, started=started):
             return Action.REPLACE
-        early = self.check_after(gaps, started=started)
-        if silence >= early and not reserve and self.budget.allows(cost):
+        hedge_after = self.check_after(gaps, started=started)
+        if silence >= hedge_after and not reserve and self.budget.allows(cost):
             self.budget.spend(cost)
             return Action.RESERVE
         return Action.WAIT
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -38,8 +38,8 @@
         # The answer may come late; the lease counts from when it was sent.
         now += rng.random() * 0.3
         share.take_grant(grant, sent)
-        rates = [s._rate(now) for s in shares.values()]
-        slots = [s._slots(now) for s in shares.values()]
+        rates = [s._rate_limit(now) for s in shares.values()]
+        slots = [s._slot_limit(now) for s in shares.values()]
         assert sum(rates) <= LIMITED.token_rate + 1e-6
         assert sum(slots) <= LIMITED.concurrency
 
