--- a/src/bulrushhold/decisions/_replica.py
+++ b/src/bulrushhold/decisions/_replica.py
@@ -55,13 +55,13 @@
         self.leader = ''
         self.votes: set[str] = set()
         self.progress: dict[str, _roles.Progress] = {}
-        self.beat = 0
-        self.beat_times: dict[int, float] = {}
-        self.next_beat = 0.0
+        self.heartbeat_number = 0
+        self.heartbeat_sent_at: dict[int, float] = {}
+        self.next_heartbeat_at = 0.0
         # A restart forgets which beats were acknowledged. Voting at once
         # could elect a second leader within the first one's lease, so a
         # started replica keeps silent as if it had just heard a leader.
-        self.heard_at = now
+        self.leader_contact_at = now
         self.started_at = now
         self.term_leader = self.log.leader_of(self.term)
         self.election_at = 0.0
@@ -92,12 +92,16 @@
         Call it with a clock read after any wait: a process frozen between
         the check and the use would otherwise act on a lease gone by.
         """
-        until = self._quorum_beat() + self.timing.lease_s
-        return self.commits_in_term and now < until
+        lease_end = self._quorum_acked_at() + self.timing.lease_s
+        return self.commits_in_term and now < lease_end
 
     def silent_for(self, now: float) -> float:
         """Return seconds since a leader was last heard; 0 as leader."""
-        return 0.0 if self.role is _roles.Role.LEADER else now - self.heard_at
+        return (
+            0.0
+            if self.role is _roles.Role.LEADER
+            else now - self.leader_contact_at
+        )
 
     def leader_address(self) -> str:
         """Address of the leader, or ``''`` where unknown."""
@@ -127,20 +131,22 @@
     def tick(self, now: float) -> None:
         """Let time pass: beats, elections, and the leader's own check."""
         if self.role is _roles.Role.LEADER:
-            if now >= self.next_beat:
+            if now >= self.next_heartbeat_at:
                 self._broadcast(now)
-            if now > self._quorum_beat() + self.timing.election_s:
+            if now > self._quorum_acked_at() + self.timing.election_s:
                 self._become_follower(self.term, '', now)
         elif now >= self.election_at:
             if self.ident in self.config.voters:
-                self._start_vote(now, pre=True)
+                self._start_election(now, pre=True)
             else:
                 self._reset_election(now)
 
     def wake_in(self, now: float) -> float:
         """Return seconds until :meth:`tick` has something to do."""
-        leads = self.role is _roles.Role.LEADER
-        return (self.next_beat if leads else self.election_at) - now
+        is_leader = self.role is _roles.Role.LEADER
+        return (
+            self.next_heartbeat_at if is_leader else self.election_at
+        ) - now
 
     def receive(self, message: messages.Message, now: float) -> None:
         """Take one message from another replica."""
@@ -190,7 +196,7 @@
 
     # Elections
 
-    def _start_vote(self, now: float, *, pre: bool) -> None:
+    def _start_election(self, now: float, *, pre: bool) -> None:
         self._reset_election(now)
         self.leader = ''
         if pre:
@@ -209,7 +215,7 @@
             self.log.term_of(self.last_index),
             pre,
         )
-        for peer in self._others():
+        for peer in self._peers():
             self._send(peer, request)
         self._count_votes(now)
 
@@ -222,9 +228,9 @@
         # term itself no longer leads if it asks, and no other one was heard
         # in this term: after a loss of all power there is a leader again as
         # soon as a majority runs, 0.6 s sooner than by waiting for silence.
-        led = now < self.heard_at + self.timing.election_s
-        led = led and request.candidate != self.term_leader
-        if led or self.lease_holds(now) or request.term < self.term:
+        leader_active = now < self.leader_contact_at + self.timing.election_s
+        leader_active = leader_active and request.candidate != self.term_leader
+        if leader_active or self.lease_holds(now) or request.term < self.term:
             self._reply_vote(request, granted=False)
             return
         if not request.pre and request.term > self.term:
@@ -233,8 +239,8 @@
             self.log.term_of(self.last_index),
             self.last_index,
         )
-        free = request.pre or self.vote in ('', request.candidate)
-        granted = up_to_date and free
+        vote_available = request.pre or self.vote in ('', request.candidate)
+        granted = up_to_date and vote_available
         if granted and not request.pre:
             self.vote = request.candidate
             self._ready.must_save = True
@@ -258,12 +264,12 @@
         if not reply.granted:
             return
         if reply.pre:
-            due = self.role is _roles.Role.PRE_CANDIDATE
-            current = reply.asked == self.term + 1
+            role_matches = self.role is _roles.Role.PRE_CANDIDATE
+            term_matches = reply.asked == self.term + 1
         else:
-            due = self.role is _roles.Role.CANDIDATE
-            current = reply.asked == self.term
-        if due and current:
+            role_matches = self.role is _roles.Role.CANDIDATE
+            term_matches = reply.asked == self.term
+        if role_matches and term_matches:
             self.votes.add(reply.voter)
             self._count_votes(now)
 
@@ -272,7 +278,7 @@
         if len(self.votes & voters.keys()) <= len(voters) // 2:
             return
         if self.role is _roles.Role.PRE_CANDIDATE:
-            self._start_vote(now, pre=False)
+            self._start_election(now, pre=False)
         elif self.role is _roles.Role.CANDIDATE:
             self._become_leader(now)
 
@@ -281,9 +287,9 @@
         self.leader = self.ident
         self.progress = {
             peer: _roles.Progress(next=self.last_index + 1)
-            for peer in self._others()
+            for peer in self._peers()
         }
-        self.beat_times = {}
+        self.heartbeat_sent_at = {}
         # The lease starts with nothing; the quorum check gets one round.
         for progress in self.progress.values():
             progress.acked_at = now - self.timing.lease_s
@@ -304,19 +310,19 @@
         self._reset_election(now)
 
     def _reset_election(self, now: float) -> None:
-        least = self.timing.election_s
-        if self._resumes_lead(now):
+        min_timeout = self.timing.election_s
+        if self._resumes_leadership(now):
             self.election_at = now + self.timing.heartbeat_s
             return
-        self.election_at = now + least * (1 + self.rng.random())
+        self.election_at = now + min_timeout * (1 + self.rng.random())
 
-    def _resumes_lead(self, now: float) -> bool:
+    def _resumes_leadership(self, now: float) -> bool:
         """Whether this replica has just restarted, and led this term.
 
         It owes silence to nobody, and asks until the others are back.
         """
-        young = now - self.started_at < 2 * self.timing.election_s
-        return young and self.term_leader == self.ident
+        recently_started = now - self.started_at < 2 * self.timing.election_s
+        return recently_started and self.term_leader == self.ident
 
     # Replication
 
@@ -329,21 +335,23 @@
             self._track_members()
 
     def _track_members(self) -> None:
-        others = self._others()
-        for peer in others:
+        peers = self._peers()
+        for peer in peers:
             self.progress.setdefault(
                 peer, _roles.Progress(next=self.last_index)
             )
-        for peer in set(self.progress) - set(others):
+        for peer in set(self.progress) - set(peers):
             del self.progress[peer]
 
     def _broadcast(self, now: float) -> None:
-        self.beat += 1
-        self.beat_times[self.beat] = now
-        self.next_beat = now + self.timing.heartbeat_s
+        self.heartbeat_number += 1
+        self.heartbeat_sent_at[self.heartbeat_number] = now
+        self.next_heartbeat_at = now + self.timing.heartbeat_s
         oldest = now - 2 * self.timing.election_s
-        for beat in [b for b, at in self.beat_times.items() if at < oldest]:
-            del self.beat_times[beat]
+        for beat in [
+            b for b, at in self.heartbeat_sent_at.items() if at < oldest
+        ]:
+            del self.heartbeat_sent_at[beat]
         for peer in self.progress:
             self._send_append(peer)
 
@@ -357,7 +365,7 @@
                     self.log.snapshot,
                     term=self.term,
                     leader=self.ident,
-                    beat=self.beat,
+                    beat=self.heartbeat_number,
                 ),
             )
             progress.next = self.log.snapshot.index + 1
@@ -374,7 +382,7 @@
                 self.log.term_of(previous),
                 entries,
                 self.commit,
-                self.beat,
+                self.heartbeat_number,
             ),
         )
         # Optimistic: the next append goes on from here. A reply that says
@@ -385,7 +393,7 @@
         if request.term < self.term:
             self._reply_append(request, success=False, match=self.last_index)
             return
-        self._follow(request.term, request.leader, now)
+        self._accept_leader(request.term, request.leader, now)
         if request.prev_index < self.log.snapshot.index:
             self._reply_append(request, success=False, match=self.commit)
             return
@@ -398,12 +406,12 @@
                 request, success=False, match=max(hint, self.commit)
             )
             return
-        self._store(request.entries)
+        self._store_entries(request.entries)
         match = request.prev_index + len(request.entries)
         self.commit = max(self.commit, min(request.commit, match))
         self._reply_append(request, success=True, match=match)
 
-    def _store(self, entries: list[messages.LogEntry]) -> None:
+    def _store_entries(self, entries: list[messages.LogEntry]) -> None:
         for entry in entries:
             if entry.index <= self.last_index:
                 if self.log.term_of(entry.index) == entry.term:
@@ -416,9 +424,9 @@
             if entry.kind == messages.KIND_NOOP and entry.term == self.term:
                 self.term_leader = entry.data.decode()
 
-    def _follow(self, term: int, leader: str, now: float) -> None:
+    def _accept_leader(self, term: int, leader: str, now: float) -> None:
         self._become_follower(term, leader, now)
-        self.heard_at = now
+        self.leader_contact_at = now
 
     def _reply_append(
         self, request: t.Any, *, success: bool, match: int
@@ -443,7 +451,7 @@
             or reply.term < self.term
         ):
             return
-        sent = self.beat_times.get(reply.beat)
+        sent = self.heartbeat_sent_at.get(reply.beat)
         if sent is not None:
             progress.acked_at = max(progress.acked_at, sent)
         if not reply.success:
@@ -456,7 +464,10 @@
             progress.match = reply.match
             self._advance_commit()
         progress.next = max(progress.next, progress.match + 1)
-        if reply.beat == self.beat and progress.match + 1 < progress.next:
+        if (
+            reply.beat == self.heartbeat_number
+            and progress.match + 1 < progress.next
+        ):
             # An append before the newest beat was lost: send it again.
             progress.next = progress.match + 1
 
@@ -477,7 +488,7 @@
         progress = self.progress.get(peer)
         return progress.match if progress else 0
 
-    def _quorum_beat(self) -> float:
+    def _quorum_acked_at(self) -> float:
         """Return when the newest beat a majority has answered left."""
         voters = self.config.voters
         times = sorted(
@@ -499,7 +510,7 @@
         if request.term < self.term:
             self._reply_append(request, success=False, match=self.last_index)
             return
-        self._follow(request.term, request.leader, now)
+        self._accept_leader(request.term, request.leader, now)
         if request.index > self.commit:
             self.log.replace(request)
             self.commit = self.applied = self.saved = request.index
@@ -508,7 +519,7 @@
             self._ready.must_save = True
         self._reply_append(request, success=True, match=request.index)
 
-    def _others(self) -> list[str]:
+    def _peers(self) -> list[str]:
         config = self.config
         members = {**config.learners, **config.voters}
         return [peer for peer in members if peer != self.ident]
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -72,7 +72,7 @@
         )
         replica = decisions.Replica(name, durable, TIMING, self.rng, self.now)
         if self.bug == 'restart forgets leases':
-            replica.heard_at = -1e9
+            replica.leader_contact_at = -1e9
         self.replicas[name] = replica
         start = disk.snapshot.index if disk.snapshot else 0
         self.applied[name] = start
