--- a/src/bulrushhold/decisions/_routing.py
+++ b/src/bulrushhold/decisions/_routing.py
@@ -13,19 +13,19 @@
 from bulrushhold.decisions import _recovery
 from bulrushhold import ports
 
-LEAST_SPREAD: t.Final = 4
-TIGHT_BOUND: t.Final = 1.05
-LOOSE_BOUND: t.Final = 1.25
-FULL: t.Final = 0.85
-COUNTS_KEPT: t.Final = 2000.0
-MIN_COUNTED: t.Final = 50.0
+MIN_CANDIDATES: t.Final = 4
+MIN_LOAD_FACTOR: t.Final = 1.05
+MAX_LOAD_FACTOR: t.Final = 1.25
+FULL_SLOTS_FRACTION: t.Final = 0.85
+MAX_COUNT_TOTAL: t.Final = 2000.0
+MIN_COUNT_TOTAL: t.Final = 50.0
 REPORT_HALF_LIFE_S: t.Final = 1.0
-FIRST_PAUSE_S: t.Final = 0.5
-LONGEST_PAUSE_S: t.Final = 15.0
-LIST_LAG_S: t.Final = 30.0
-BUCKETS: t.Final = 1024
-MEAN_KEPT_S: t.Final = 0.5
-DRAWS: t.Final = 8
+INITIAL_BACKOFF_S: t.Final = 0.5
+MAX_BACKOFF_S: t.Final = 15.0
+DISCOVERY_LAG_S: t.Final = 30.0
+PROMPT_BUCKETS: t.Final = 1024
+MEAN_LOAD_TTL_S: t.Final = 0.5
+SAMPLE_SIZE: t.Final = 8
 
 
 @attrs.define
@@ -48,11 +48,11 @@
     failures: int = 0
     closed_until: float = 0.0
     listed: bool = True
-    left_until: float = 0.0
+    draining_until: float = 0.0
     suspects: int = 0
     gaps: _recovery.GapEstimate = attrs.field(factory=_recovery.GapEstimate)
 
-    def load(self, now: float, mean_others: float = 0.0) -> float:
+    def load(self, now: float, mean_other_load: float = 0.0) -> float:
         """Return the requests thought to run there.
 
         The own part is exact. The others' part comes from a report, and
@@ -63,16 +63,20 @@
         """
         others = max(0, self.running - self.own_at_report)
         age = max(0.0, now - self.reported_at)
-        trust = 0.5 ** (age / REPORT_HALF_LIFE_S)
-        return self.own + mean_others + (others - mean_others) * trust
+        report_weight = 0.5 ** (age / REPORT_HALF_LIFE_S)
+        return (
+            self.own
+            + mean_other_load
+            + (others - mean_other_load) * report_weight
+        )
 
-    def open(self, now: float) -> bool:
+    def available(self, now: float) -> bool:
         """Whether it may get new requests."""
         return (
             self.listed
             and not self.server.leaving
             and now >= self.closed_until
-            and now >= self.left_until
+            and now >= self.draining_until
         )
 
     def report(self, running: int, now: float) -> None:
@@ -84,8 +88,8 @@
     def failed(self, now: float) -> None:
         """Leave the server alone, longer after each failure in a row."""
         self.failures += 1
-        pause = FIRST_PAUSE_S * 2 ** (self.failures - 1)
-        self.closed_until = now + min(LONGEST_PAUSE_S, pause)
+        backoff = INITIAL_BACKOFF_S * 2 ** (self.failures - 1)
+        self.closed_until = now + min(MAX_BACKOFF_S, backoff)
 
     def succeeded(self) -> None:
         """Forget the failures."""
@@ -116,16 +120,16 @@
     def __init__(self, rng: random.Random | None = None) -> None:
         self.rng = rng or random.Random()
         self.states: dict[str, BackendState] = {}
-        self.orders: dict[str, list[BackendState]] = {}
-        self.counts: dict[str, float] = {}
-        self.counted = 0.0
-        self.mean = 0.0
-        self.mean_others = 0.0
-        self.mean_until = 0.0
+        self.rankings: dict[str, list[BackendState]] = {}
+        self.bucket_counts: dict[str, float] = {}
+        self.count_total = 0.0
+        self.mean_load = 0.0
+        self.mean_other_load = 0.0
+        self.means_valid_until = 0.0
 
     def update(self, servers: list[ports.BackendServer]) -> None:
         """Take in the platform's list."""
-        self.orders = {}
+        self.rankings = {}
         listed = {server.name: server for server in servers}
         for name, state in list(self.states.items()):
             if name not in listed:
@@ -148,7 +152,7 @@
         """
         state = self.states.get(name)
         if state is not None:
-            state.left_until = now + LIST_LAG_S
+            state.draining_until = now + DISCOVERY_LAG_S
 
     def choose_engine(
         self,
@@ -170,26 +174,28 @@
             names it alone.
         """
 
-        def able(state: BackendState) -> bool:
-            found = state.server.models.get(model)
+        def eligible(state: BackendState) -> bool:
+            served_version = state.server.models.get(model)
             return (
-                state.open(now)
-                and found is not None
-                and (version in ('', found))
+                state.available(now)
+                and served_version is not None
+                and (version in ('', served_version))
             )
 
-        passes: list[cabc.Callable[[BackendState], bool]] = []
+        filters: list[cabc.Callable[[BackendState], bool]] = []
         if suspect:
-            passes.append(
-                lambda s: able(s)
+            filters.append(
+                lambda s: eligible(s)
                 and s.server.name not in avoid
                 and s.suspects == 0
             )
-        passes.append(lambda s: able(s) and s.server.name not in avoid)
-        passes.append(able)
-        order, spread = self._ranked(model, affinity)
-        for allowed in passes:
-            choice = self._choose(order, spread, allowed, now)
+        filters.append(lambda s: eligible(s) and s.server.name not in avoid)
+        filters.append(eligible)
+        ranking, candidate_count = self._rank_engines(model, affinity)
+        for allowed in filters:
+            choice = self._choose_of_two(
+                ranking, candidate_count, allowed, now
+            )
             if choice is not None:
                 return choice
         return Choice(None, [], 'no engine of that model and version')
@@ -201,25 +207,27 @@
         avoid: cabc.Collection[str] = (),
     ) -> Choice:
         """Choose a server of a plain service by its load."""
-        able = self._open(service, now)
-        if not able:
+        eligible = self._available_servers(service, now)
+        if not eligible:
             return Choice(None, [], 'no server of that service')
-        fresh = [s for s in able if s.server.name not in avoid] or able
-        best = min(fresh, key=lambda s: (s.load(now), s.server.name))
-        return Choice(best, [s.server.name for s in fresh], 'least load')
+        preferred = [
+            s for s in eligible if s.server.name not in avoid
+        ] or eligible
+        best = min(preferred, key=lambda s: (s.load(now), s.server.name))
+        return Choice(best, [s.server.name for s in preferred], 'least load')
 
     def has_kind(self, kind: str) -> bool:
         """Whether the platform lists any server of that kind."""
         return any(s.server.kind == kind for s in self.states.values())
 
-    def _open(self, kind: str, now: float) -> list[BackendState]:
+    def _available_servers(self, kind: str, now: float) -> list[BackendState]:
         return [
             state
             for state in self.states.values()
-            if state.server.kind == kind and state.open(now)
+            if state.server.kind == kind and state.available(now)
         ]
 
-    def _ranked(
+    def _rank_engines(
         self, model: str, affinity: str
     ) -> tuple[list[BackendState], int]:
         """Return the engines as a prompt prefers them, and how many it needs.
@@ -229,33 +237,35 @@
         prompt needs engines by its share of the requests: kept to a few,
         one that half of all requests begin with would queue there.
         """
-        bucket = xxhash.xxh3_64_intdigest(affinity.encode()) % BUCKETS
+        bucket = xxhash.xxh3_64_intdigest(affinity.encode()) % PROMPT_BUCKETS
         key = f'{model}\0{bucket}'
-        order = self.orders.get(key)
-        if order is None:
+        ranking = self.rankings.get(key)
+        if ranking is None:
             engines = [
                 s for s in self.states.values() if s.server.kind == 'engine'
             ]
-            order = _homes.ranked(key, engines, lambda s: s.server.name)
-            self.orders[key] = order
-        share = self._share_of(key)
-        return order, LEAST_SPREAD + math.ceil(share * len(order))
+            ranking = _homes.ranked(key, engines, lambda s: s.server.name)
+            self.rankings[key] = ranking
+        share = self._count_and_share(key)
+        return ranking, MIN_CANDIDATES + math.ceil(share * len(ranking))
 
-    def _share_of(self, key: str) -> float:
+    def _count_and_share(self, key: str) -> float:
         """Count a request, and return its bucket's share of late."""
-        self.counts[key] = self.counts.get(key, 0.0) + 1.0
-        self.counted += 1.0
-        if self.counted > COUNTS_KEPT:
-            self.counts = {k: n / 2 for k, n in self.counts.items() if n > 1}
-            self.counted = sum(self.counts.values())
+        self.bucket_counts[key] = self.bucket_counts.get(key, 0.0) + 1.0
+        self.count_total += 1.0
+        if self.count_total > MAX_COUNT_TOTAL:
+            self.bucket_counts = {
+                k: n / 2 for k, n in self.bucket_counts.items() if n > 1
+            }
+            self.count_total = sum(self.bucket_counts.values())
         # A bucket met for the first time says nothing about its share.
-        former = self.counts.get(key, 1.0) - 1.0
-        return max(0.0, former) / max(self.counted, MIN_COUNTED)
+        previous = self.bucket_counts.get(key, 1.0) - 1.0
+        return max(0.0, previous) / max(self.count_total, MIN_COUNT_TOTAL)
 
-    def _choose(
+    def _choose_of_two(
         self,
-        order: list[BackendState],
-        spread: int,
+        ranking: list[BackendState],
+        candidate_count: int,
         allowed: cabc.Callable[[BackendState], bool],
         now: float,
     ) -> Choice | None:
@@ -266,49 +276,54 @@
         both are loaded well above the mean, the cache isn't worth the wait
         and two of all engines are drawn.
         """
-        self._measure(now)
-        two = self._draw(order[:spread], allowed)
+        self._refresh_means(now)
+        drawn = self._draw_pair(ranking[:candidate_count], allowed)
         reason = 'prefix'
-        if not two or self._least(two, now)[1] > self._bound(two[0]):
-            two = self._draw(order, allowed) or two
+        if not drawn or self._least_loaded(drawn, now)[
+            1
+        ] > self._affinity_load_limit(drawn[0]):
+            drawn = self._draw_pair(ranking, allowed) or drawn
             reason = 'load'
-        if not two:
+        if not drawn:
             return None
-        best, _ = self._least(two, now)
-        return Choice(best, [s.server.name for s in two], reason)
+        best, _ = self._least_loaded(drawn, now)
+        return Choice(best, [s.server.name for s in drawn], reason)
 
-    def _draw(
+    def _draw_pair(
         self,
-        order: list[BackendState],
+        ranking: list[BackendState],
         allowed: cabc.Callable[[BackendState], bool],
     ) -> list[BackendState]:
         """Draw two engines that are allowed, mostly without a full scan."""
-        few = self.rng.sample(order, min(DRAWS, len(order)))
-        two = list(itertools.islice(filter(allowed, few), 2))
-        if two or len(order) <= DRAWS:
-            return two
-        able = list(filter(allowed, order))
-        return self.rng.sample(able, min(2, len(able)))
-
-    def _least(
-        self, able: list[BackendState], now: float
+        sampled = self.rng.sample(ranking, min(SAMPLE_SIZE, len(ranking)))
+        drawn = list(itertools.islice(filter(allowed, sampled), 2))
+        if drawn or len(ranking) <= SAMPLE_SIZE:
+            return drawn
+        eligible = list(filter(allowed, ranking))
+        return self.rng.sample(eligible, min(2, len(eligible)))
+
+    def _least_loaded(
+        self, eligible: list[BackendState], now: float
     ) -> tuple[BackendState, float]:
-        loads = [(s.load(now, self.mean_others), s) for s in able]
+        loads = [(s.load(now, self.mean_other_load), s) for s in eligible]
         load, state = min(loads, key=lambda pair: pair[0])
         return state, load
 
-    def _bound(self, state: BackendState) -> float:
+    def _affinity_load_limit(self, state: BackendState) -> float:
         """Return the load up to which a prefix keeps its engine."""
-        loose = min(LOOSE_BOUND * self.mean, FULL * state.server.slots)
-        return max(TIGHT_BOUND * self.mean, loose, 1.0)
+        ceiling = min(
+            MAX_LOAD_FACTOR * self.mean_load,
+            FULL_SLOTS_FRACTION * state.server.slots,
+        )
+        return max(MIN_LOAD_FACTOR * self.mean_load, ceiling, 1.0)
 
-    def _measure(self, now: float) -> None:
+    def _refresh_means(self, now: float) -> None:
         """Take the mean loads of open engines, once in a while."""
-        if now < self.mean_until:
+        if now < self.means_valid_until:
             return
-        able = self._open('engine', now)
-        others = [max(0, s.running - s.own_at_report) for s in able]
-        self.mean_others = sum(others) / max(1, len(able))
-        loads = [s.load(now, self.mean_others) for s in able]
-        self.mean = sum(loads) / max(1, len(able))
-        self.mean_until = now + MEAN_KEPT_S
+        eligible = self._available_servers('engine', now)
+        others = [max(0, s.running - s.own_at_report) for s in eligible]
+        self.mean_other_load = sum(others) / max(1, len(eligible))
+        loads = [s.load(now, self.mean_other_load) for s in eligible]
+        self.mean_load = sum(loads) / max(1, len(eligible))
+        self.means_valid_until = now + MEAN_LOAD_TTL_S
