--- a/src/bulrushhold/decisions/_statemachine.py
+++ b/src/bulrushhold/decisions/_statemachine.py
@@ -9,7 +9,7 @@
 from bulrushhold.decisions import _table
 from bulrushhold import messages
 
-SUSPECTS_KEPT: t.Final = 500
+MAX_SUSPECTS: t.Final = 500
 
 
 @attrs.define
@@ -47,10 +47,10 @@
             self._quarantine(message)
             return b''
         if isinstance(message, messages.Suspected):
-            self._suspect(message)
+            self._record_suspects(message)
             return b''
         if isinstance(message, messages.RouteMapPut):
-            return messages.encode(self._put_map(message))
+            return messages.encode(self._put_route_map(message))
         return messages.encode(messages.Failure('not a command'))
 
     @property
@@ -58,34 +58,34 @@
         """Version of the route map in force; 0 where there is none."""
         return self.route_map.version if self.route_map else 0
 
-    def _put_map(
-        self, order: messages.RouteMapPut
+    def _put_route_map(
+        self, command: messages.RouteMapPut
     ) -> messages.RouteMapOutcome:
         # An equal version keeps what is held: an operator that resends after
         # a lost answer, or races another one, must not change what some
         # entries already obey under that number.
-        if order.version > self.map_version:
-            self.route_map = order
+        if command.version > self.map_version:
+            self.route_map = command
         return messages.RouteMapOutcome(self.map_version)
 
-    def _quarantine(self, order: messages.Quarantine) -> None:
-        if order.lift:
-            self.quarantined.pop(order.fingerprint, None)
-            self.suspects.pop(order.fingerprint, None)
+    def _quarantine(self, command: messages.Quarantine) -> None:
+        if command.lift:
+            self.quarantined.pop(command.fingerprint, None)
+            self.suspects.pop(command.fingerprint, None)
         else:
-            self.quarantined[order.fingerprint] = order.reason
+            self.quarantined[command.fingerprint] = command.reason
         self.refusals_revision += 1
 
-    def _suspect(self, order: messages.Suspected) -> None:
+    def _record_suspects(self, command: messages.Suspected) -> None:
         """Remember the contents, so that every entry treats them alike.
 
         A caller whose request killed one engine may send it again through
         another entry; without this, that entry would count from nothing.
         """
-        for fingerprint in order.fingerprints:
-            deaths = self.suspects.pop(fingerprint, 0)
-            self.suspects[fingerprint] = deaths + 1
-        while len(self.suspects) > SUSPECTS_KEPT:
+        for fingerprint in command.fingerprints:
+            crashes = self.suspects.pop(fingerprint, 0)
+            self.suspects[fingerprint] = crashes + 1
+        while len(self.suspects) > MAX_SUSPECTS:
             del self.suspects[next(iter(self.suspects))]
         self.refusals_revision += 1
 
--- a/src/bulrushhold/decisions/_suspects.py
+++ b/src/bulrushhold/decisions/_suspects.py
@@ -6,8 +6,8 @@
 import attrs
 import xxhash
 
-DEATHS_TO_QUARANTINE: t.Final = 2
-REMEMBERED: t.Final = 10_000
+CRASHES_TO_QUARANTINE: t.Final = 2
+MAX_TRACKED: t.Final = 10_000
 
 
 def content_fingerprint(content: bytes) -> str:
@@ -25,35 +25,35 @@
     names nobody: their count stays, and they are parted again.
     """
 
-    deaths: dict[str, int] = attrs.field(factory=dict)
+    crashes: dict[str, int] = attrs.field(factory=dict)
 
     def is_suspect(self, fingerprint: str) -> bool:
         """Whether an engine has died under this content."""
-        return fingerprint in self.deaths
+        return fingerprint in self.crashes
 
     def learn(self, fingerprints: cabc.Iterable[str]) -> None:
         """Take over suspects that other entries have found."""
         for fingerprint in fingerprints:
-            self.deaths.setdefault(fingerprint, 1)
+            self.crashes.setdefault(fingerprint, 1)
 
     def engine_died(self, fingerprints: list[str]) -> list[str]:
         """Count a death; return the contents to be quarantined.
 
         :param fingerprints: of all requests that ran on the engine.
         """
-        former = {f for f in fingerprints if f in self.deaths}
-        named: list[str] = []
+        crashed_before = {f for f in fingerprints if f in self.crashes}
+        quarantined: list[str] = []
         for fingerprint in dict.fromkeys(fingerprints):
-            if fingerprint not in former:
-                self.deaths[fingerprint] = 1
-            elif len(former) == 1:
-                self.deaths[fingerprint] += 1
-                if self.deaths[fingerprint] >= DEATHS_TO_QUARANTINE:
-                    named.append(fingerprint)
-        while len(self.deaths) > REMEMBERED:
-            del self.deaths[next(iter(self.deaths))]
-        return named
+            if fingerprint not in crashed_before:
+                self.crashes[fingerprint] = 1
+            elif len(crashed_before) == 1:
+                self.crashes[fingerprint] += 1
+                if self.crashes[fingerprint] >= CRASHES_TO_QUARANTINE:
+                    quarantined.append(fingerprint)
+        while len(self.crashes) > MAX_TRACKED:
+            del self.crashes[next(iter(self.crashes))]
+        return quarantined
 
     def clear(self, fingerprint: str) -> None:
         """Forget a content that was served whole."""
-        self.deaths.pop(fingerprint, None)
+        self.crashes.pop(fingerprint, None)
--- a/src/bulrushhold/decisions/_table.py
+++ b/src/bulrushhold/decisions/_table.py
@@ -11,8 +11,8 @@
 VALUE_COLUMNS: t.Final = tuple(
     name for name in COLUMNS if name not in KEY_COLUMNS
 )
-HISTORY_LIMIT: t.Final = 20_000
-EDIT_IDS_KEPT: t.Final = 20_000
+MAX_HISTORY_ITEMS: t.Final = 20_000
+MAX_EDIT_IDS: t.Final = 20_000
 
 
 @attrs.define
@@ -45,7 +45,7 @@
         """Return the rows in force, or as of a revision, by key."""
         if revision is None:
             revision = self.revision
-        found = (self._at(key, revision) for key in self.versions)
+        found = (self._row_at(key, revision) for key in self.versions)
         return sorted(
             (row for row in found if row is not None),
             key=lambda row: row.key,
@@ -83,7 +83,7 @@
             return first
         outcome = self._apply_new(edit)
         self.outcomes[edit.edit_id] = outcome
-        while len(self.outcomes) > EDIT_IDS_KEPT:
+        while len(self.outcomes) > MAX_EDIT_IDS:
             del self.outcomes[next(iter(self.outcomes))]
         return outcome
 
@@ -95,14 +95,14 @@
                 reason=f'revision {edit.base} is unknown or too old; '
                 'pull the table again',
             )
-        wanted: dict[str, messages.Row | None] = dict.fromkeys(edit.removed)
-        wanted |= {row.key: row for row in edit.rows}
+        requested: dict[str, messages.Row | None] = dict.fromkeys(edit.removed)
+        requested |= {row.key: row for row in edit.rows}
         changed: dict[str, messages.Row | None] = {}
         conflicts: list[messages.Conflict] = []
-        for key in sorted(wanted):
-            merged, found = self._merge(key, wanted[key], edit.base)
+        for key in sorted(requested):
+            merged, found = self._merge(key, requested[key], edit.base)
             conflicts += found
-            if merged != self._at(key, self.revision):
+            if merged != self._row_at(key, self.revision):
                 changed[key] = merged
         if conflicts:
             return messages.EditOutcome(
@@ -116,28 +116,30 @@
         return messages.EditOutcome(True, self.revision, len(changed))
 
     def _merge(
-        self, key: str, wanted: messages.Row | None, base: int
+        self, key: str, requested: messages.Row | None, base: int
     ) -> tuple[messages.Row | None, list[messages.Conflict]]:
         """Merge one row: what the operator changed since ``base`` counts.
 
         Without the row as of ``base``, a cell that the operator never
         touched would look like a change and turn another's edit back.
         """
-        before = self._at(key, base)
-        now = self._at(key, self.revision)
-        if wanted == before or wanted == now:
-            return now, []
-        if before == now:
-            return wanted, []
-        if wanted is None or now is None or before is None:
-            return now, [
-                messages.Conflict(key, 'row', _show(now), _show(wanted))
+        before = self._row_at(key, base)
+        current = self._row_at(key, self.revision)
+        if requested == before or requested == current:
+            return current, []
+        if before == current:
+            return requested, []
+        if requested is None or current is None or before is None:
+            return current, [
+                messages.Conflict(
+                    key, 'row', _format_row(current), _format_row(requested)
+                )
             ]
         cells: dict[str, t.Any] = {}
         conflicts = []
         for name in VALUE_COLUMNS:
             old, mine, theirs = (
-                getattr(row, name) for row in (before, wanted, now)
+                getattr(row, name) for row in (before, requested, current)
             )
             if mine not in (old, theirs):
                 cells[name] = mine
@@ -145,7 +147,7 @@
                     conflicts.append(
                         messages.Conflict(key, name, str(theirs), str(mine))
                     )
-        return attrs.evolve(now, **cells), conflicts
+        return attrs.evolve(current, **cells), conflicts
 
     def _commit(
         self,
@@ -153,27 +155,29 @@
         changed: dict[str, messages.Row | None],
     ) -> None:
         self.revision += 1
-        notes = []
+        changes = []
         for key, row in changed.items():
-            notes.append(_note(key, self._at(key, self.revision), row))
+            changes.append(
+                _describe_change(key, self._row_at(key, self.revision), row)
+            )
             versions = self.versions.setdefault(key, [])
             versions.append(Version(self.revision, row))
         self.changed.append((self.revision, list(changed)))
         self.history.append(
-            messages.HistoryItem(self.revision, edit.author, edit.at, notes)
+            messages.HistoryItem(self.revision, edit.author, edit.at, changes)
         )
-        if len(self.history) > HISTORY_LIMIT:
+        if len(self.history) > MAX_HISTORY_ITEMS:
             self.changed.pop(0)
-            self._forget(self.history.pop(0).revision)
+            self._drop_versions(self.history.pop(0).revision)
 
-    def _forget(self, revision: int) -> None:
+    def _drop_versions(self, revision: int) -> None:
         """Drop versions that no edit can be based on any more."""
         self.floor = revision
         for versions in self.versions.values():
             while len(versions) > 1 and versions[1].revision <= revision:
                 del versions[0]
 
-    def _at(self, key: str, revision: int) -> messages.Row | None:
+    def _row_at(self, key: str, revision: int) -> messages.Row | None:
         for version in reversed(self.versions.get(key, ())):
             if version.revision <= revision:
                 return version.row
@@ -190,7 +194,7 @@
     return rows, sorted(removed)
 
 
-def _note(
+def _describe_change(
     key: str, before: messages.Row | None, after: messages.Row | None
 ) -> str:
     if after is None:
@@ -205,7 +209,7 @@
     return f'{key}: ' + ', '.join(cells)
 
 
-def _show(row: messages.Row | None) -> str:
+def _format_row(row: messages.Row | None) -> str:
     if row is None:
         return 'removed'
     return ', '.join(f'{name}={getattr(row, name)}' for name in VALUE_COLUMNS)
--- a/src/bulrushhold/decisions/_tablecsv.py
+++ b/src/bulrushhold/decisions/_tablecsv.py
@@ -43,50 +43,50 @@
     """
     lines = text.removeprefix('\ufeff').splitlines()
     if not lines:
-        raise _group([_bad(1, '', 'the file is empty')])
+        raise _error_group([_cell_error(1, '', 'the file is empty')])
     delimiter = max(',;\t', key=lines[0].count)
     cells = list(csv.reader(lines, delimiter=delimiter))
     header = [name.strip().lower() for name in cells[0]]
     _check_header(header)
     problems: list[errors.CellError] = []
     rows: list[messages.Row] = []
-    bases: set[int] = set()
+    revisions: set[int] = set()
     for number, line in enumerate(cells[1:], start=2):
         if not any(cell.strip() for cell in line):
             continue
         values = dict(zip(header, line, strict=False))
         row = _read_row(number, values, problems)
-        base = _read_base(number, values, problems)
-        if base is not None:
-            bases.add(base)
+        revision = _read_revision(number, values, problems)
+        if revision is not None:
+            revisions.add(revision)
         if row is not None:
             rows.append(row)
-    problems += _check_whole(rows, bases)
+    problems += _check_rows(rows, revisions)
     if problems:
-        raise _group(problems)
-    return rows, max(bases, default=0)
+        raise _error_group(problems)
+    return rows, max(revisions, default=0)
 
 
 def _check_header(header: list[str]) -> None:
-    wanted = [*_table.COLUMNS, REVISION_COLUMN]
+    expected = [*_table.COLUMNS, REVISION_COLUMN]
     problems = [
-        _bad(1, name, 'column is missing')
-        for name in wanted
+        _cell_error(1, name, 'column is missing')
+        for name in expected
         if name not in header
     ]
     problems += [
-        _bad(1, name, 'unknown column')
+        _cell_error(1, name, 'unknown column')
         for name in header
-        if name and name not in wanted
+        if name and name not in expected
     ]
     if len(set(header)) < len(header):
-        problems.append(_bad(1, '', 'a column stands twice'))
+        problems.append(_cell_error(1, '', 'a column stands twice'))
     if problems:
-        raise _group(problems)
+        raise _error_group(problems)
 
 
-def _check_whole(
-    rows: list[messages.Row], bases: set[int]
+def _check_rows(
+    rows: list[messages.Row], revisions: set[int]
 ) -> list[errors.CellError]:
     problems = []
     keys: set[str] = set()
@@ -94,10 +94,10 @@
         if row.key in keys:
             problems.append(errors.CellError('stands twice', f'row {row.key}'))
         keys.add(row.key)
-    if len(bases) > 1:
+    if len(revisions) > 1:
         problems.append(
             errors.CellError(
-                f'rows come from several pulls: {sorted(bases)}',
+                f'rows come from several pulls: {sorted(revisions)}',
                 f'column {REVISION_COLUMN}',
             )
         )
@@ -108,67 +108,69 @@
     number: int, values: dict[str, str], problems: list[errors.CellError]
 ) -> messages.Row | None:
     fields: dict[str, t.Any] = {}
-    before = len(problems)
+    problems_before = len(problems)
     for name in _table.COLUMNS:
         text = values.get(name, '').strip()
         try:
-            fields[name] = _READERS[name](text)
+            fields[name] = _PARSERS[name](text)
         except ValueError as error:
-            problems.append(_bad(number, name, f'{error}: {text!r}'))
-    return messages.Row(**fields) if len(problems) == before else None
+            problems.append(_cell_error(number, name, f'{error}: {text!r}'))
+    return messages.Row(**fields) if len(problems) == problems_before else None
 
 
-def _read_base(
+def _read_revision(
     number: int, values: dict[str, str], problems: list[errors.CellError]
 ) -> int | None:
     text = values.get(REVISION_COLUMN, '').strip()
     if not text:
         return None
     try:
-        return int(_whole(text))
+        return int(_parse_integer(text))
     except ValueError as error:
-        problems.append(_bad(number, REVISION_COLUMN, f'{error}: {text!r}'))
+        problems.append(
+            _cell_error(number, REVISION_COLUMN, f'{error}: {text!r}')
+        )
         return None
 
 
-def _name(text: str) -> str:
+def _parse_name(text: str) -> str:
     if not text or len(text) > 64 or not set(text) <= _NAME_CHARACTERS:
         raise ValueError('needs 1 to 64 of letters, digits and -_./')
     return text
 
 
-def _account(text: str) -> str:
+def _parse_account(text: str) -> str:
     if '/' in text:
         raise ValueError('an account may hold no /')
-    return _name(text)
+    return _parse_name(text)
 
 
-def _number(text: str, least: float) -> float:
+def _parse_number(text: str, minimum: float) -> float:
     try:
         value = float(text)
     except ValueError:
         raise ValueError('needs a number') from None
-    if not math.isfinite(value) or value < least or value > 1e12:
-        raise ValueError(f'needs a number from {least:g} to 1e12')
+    if not math.isfinite(value) or value < minimum or value > 1e12:
+        raise ValueError(f'needs a number from {minimum:g} to 1e12')
     return value
 
 
-def _positive(text: str) -> float:
-    return _number(text, 0.001)
+def _parse_positive(text: str) -> float:
+    return _parse_number(text, 0.001)
 
 
-def _rate(text: str) -> float:
-    return _number(text, 0)
+def _parse_rate(text: str) -> float:
+    return _parse_number(text, 0)
 
 
-def _whole(text: str) -> int:
-    value = _number(text, 0)
+def _parse_integer(text: str) -> int:
+    value = _parse_number(text, 0)
     if value != int(value):
         raise ValueError('needs a whole number')
     return int(value)
 
 
-def _flag(text: str) -> bool:
+def _parse_flag(text: str) -> bool:
     if text.lower() in _TRUE:
         return True
     if text.lower() in _FALSE:
@@ -176,15 +178,15 @@
     raise ValueError('needs yes or no')
 
 
-_READERS: t.Final[dict[str, t.Any]] = {
-    'account': _account,
-    'work': _name,
-    'weight': _positive,
-    'token_rate': _rate,
-    'concurrency': _whole,
-    'deadline_s': _positive,
-    'priority': _whole,
-    'idempotent': _flag,
+_PARSERS: t.Final[dict[str, t.Any]] = {
+    'account': _parse_account,
+    'work': _parse_name,
+    'weight': _parse_positive,
+    'token_rate': _parse_rate,
+    'concurrency': _parse_integer,
+    'deadline_s': _parse_positive,
+    'priority': _parse_integer,
+    'idempotent': _parse_flag,
 }
 
 
@@ -196,14 +198,14 @@
     return str(value)
 
 
-def _bad(number: int, column: str, reason: str) -> errors.CellError:
+def _cell_error(number: int, column: str, reason: str) -> errors.CellError:
     where = f'row {number}'
     if column:
         where += f', column {column}'
     return errors.CellError(reason, where)
 
 
-def _group(
+def _error_group(
     problems: list[errors.CellError],
 ) -> 'ExceptionGroup[errors.CellError]':
     return ExceptionGroup('the table has wrong cells', problems)
--- a/src/bulrushhold/decisions/_takeover.py
+++ b/src/bulrushhold/decisions/_takeover.py
@@ -35,10 +35,10 @@
 
 
 def standing(
-    states: cabc.Collection[messages.PointerState], homes: int
+    states: cabc.Collection[messages.PointerState], home_count: int
 ) -> Standing:
     """Sum up the answers of ``homes`` pointer homes."""
-    needed = homes // 2 + 1
+    quorum = home_count // 2 + 1
     newest = max((state.since for state in states), default=0)
     former = {
         address
@@ -47,8 +47,8 @@
         for address in state.former
     }
     return Standing(
-        majority=len(states) >= needed,
-        sure=sum(state.sure for state in states) >= needed,
+        majority=len(states) >= quorum,
+        sure=sum(state.sure for state in states) >= quorum,
         epoch=max((state.epoch for state in states), default=0),
         since=newest,
         former=sorted(former),
@@ -60,11 +60,13 @@
     copies: cabc.Iterable[messages.CopyState], since: int
 ) -> messages.CopyState | None:
     """Return the copy to go on from: the last writer's, the longest."""
-    found = [
+    candidates = [
         copy
         for copy in copies
         if copy.granted and copy.written and copy.written >= since
     ]
     return max(
-        found, key=lambda copy: (copy.written, len(copy.tokens)), default=None
+        candidates,
+        key=lambda copy: (copy.written, len(copy.tokens)),
+        default=None,
     )
--- a/src/bulrushhold/decisions/_transcript.py
+++ b/src/bulrushhold/decisions/_transcript.py
@@ -12,7 +12,7 @@
     REPEATED = 'repeated'
     MISSING = 'missing'
     STALE = 'stale'
-    CROSSED = 'crossed'
+    WRONG_REQUEST = 'crossed'
 
 
 @attrs.define
@@ -52,7 +52,7 @@
 
         :param finish: ``''`` for a token, else why the answer ended.
         """
-        verdict = self._judge(request, attempt, offset)
+        verdict = self._classify(request, attempt, offset)
         if verdict is not Verdict.ACCEPTED:
             return verdict
         if len(self.contenders) > 1:
@@ -64,9 +64,9 @@
             self.tokens.append(text)
         return verdict
 
-    def _judge(self, request: str, attempt: int, offset: int) -> Verdict:
+    def _classify(self, request: str, attempt: int, offset: int) -> Verdict:
         if request != self.request:
-            return Verdict.CROSSED
+            return Verdict.WRONG_REQUEST
         if attempt not in self.contenders or self.finish:
             return Verdict.STALE
         if offset < len(self.tokens):
