--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Pure decisions: no sockets, no clock, no random source of their own."""
+"""Decision logic without I/O: callers pass in time and random sources."""
 
 from bulrushhold.decisions._admissioncontrol import ADMISSION_CHECK_S
 from bulrushhold.decisions._admissioncontrol import AdmissionController
@@ -23,12 +23,8 @@
 from bulrushhold.decisions._members import next_config
 from bulrushhold.decisions._members import with_learner
 from bulrushhold.decisions._membership import Membership
-from bulrushhold.decisions._membership import (
-    PROBE_TIMEOUT_S as MEMBERSHIP_PROBE_S,
-)
-from bulrushhold.decisions._membership import (
-    PROTOCOL_PERIOD_S as MEMBERSHIP_PERIOD_S,
-)
+from bulrushhold.decisions._membership import PERIOD_S as MEMBERSHIP_PERIOD_S
+from bulrushhold.decisions._membership import PROBE_S as MEMBERSHIP_PROBE_S
 from bulrushhold.decisions._patience import leave_unread_s
 from bulrushhold.decisions._patience import Patience
 from bulrushhold.decisions._placed import Placed
--- a/src/bulrushhold/decisions/_claims.py
+++ b/src/bulrushhold/decisions/_claims.py
@@ -1,8 +1,8 @@
-"""Claims: at most one run of each non-idempotent call.
+"""At-most-once execution of non-idempotent calls by replicated claims.
 
-A claim is in the replicated log before the call's first byte leaves.
-Only the holder that the claim was granted to may run it, once; everyone
-else gets the outcome, or hears that it is unknown.
+A claim is committed to the replicated log before the first byte of the
+call is sent. Only the holder to which the claim was granted may execute
+the call; every other holder gets the recorded outcome, or ``unknown``.
 """
 
 import attrs
@@ -18,7 +18,7 @@
 
 @attrs.define
 class ClaimRecord:
-    """One claim as the log has it."""
+    """State of one claim in the replicated log."""
 
     holder: str
     key_time: float
@@ -31,18 +31,18 @@
 
 @attrs.define
 class ClaimState:
-    """All claims that are not yet forgotten.
+    """All retained claims by idempotency key.
 
-    :param watermark: keys older than this, in seconds since the epoch,
-        are refused. Claims older than it may be forgotten: a resend that
-        comes later carries the same old key and can't run.
+    :param watermark: seconds since the epoch. Claims with an older key
+        time are discarded and new ones are refused, so that a late resend
+        of a discarded claim can't execute again.
     """
 
     records: dict[str, ClaimRecord] = attrs.field(factory=dict)
     watermark: float = 0.0
 
     def claim(self, claim: messages.Claim) -> messages.ClaimOutcome:
-        """Grant the claim, or tell what became of the first one."""
+        """Grant a new claim, or return the outcome of the existing one."""
         record = self.records.get(claim.key)
         if record is None:
             if claim.key_time < self.watermark:
@@ -53,13 +53,13 @@
             return messages.ClaimOutcome(True, OPEN)
         if record.fingerprint != claim.fingerprint:
             return messages.ClaimOutcome(False, MISMATCH)
-        # A proposal whose answer was lost is sent again by its holder,
-        # which has then not run the call yet.
+        # A holder that resends its proposal after losing the reply hasn't
+        # executed the call yet, so the claim is granted again.
         granted = record.state == OPEN and record.holder == claim.holder
         return _outcome(record, granted=granted)
 
     def end(self, end: messages.ClaimEnd) -> messages.ClaimOutcome:
-        """Record how a claim ended; the first end counts."""
+        """Record the outcome of a claim; later outcomes are ignored."""
         record = self.records.get(end.key)
         if record is None:
             return messages.ClaimOutcome(False, EXPIRED)
@@ -71,7 +71,7 @@
         return _outcome(record, granted=False)
 
     def forget(self, before: float) -> int:
-        """Move the watermark, forward only; return claims dropped."""
+        """Advance the watermark; return how many claims were discarded."""
         self.watermark = max(self.watermark, before)
         expired = [
             key
--- a/src/bulrushhold/decisions/_controlservers.py
+++ b/src/bulrushhold/decisions/_controlservers.py
@@ -1,7 +1,7 @@
-"""Which control process an entry holds its long poll at.
+"""Selection of the control process that an entry long-polls.
 
-Answers the loss, a freeze or a cut of any of them: an entry without one has
-neither a new route map nor any view of the load of engines.
+An entry fails over when its control process crashes, hangs or becomes
+unreachable; without one it gets neither route maps nor load reports.
 """
 
 import random
@@ -9,16 +9,17 @@
 
 from bulrushhold import messages
 
-# For how long one that gave no answer is asked only if all gave none.
+# How long a failed process is skipped while any other is available.
 FAILURE_BACKOFF_S: t.Final = 2.0
 
 
 class ControlServers:
     """Control processes in order of preference.
 
-    First the one of the own data centre with the fastest link, since its
-    news goes to all entries there; of equal ones, one that doesn't keep the
-    log. Then the others there, then the leader, then all.
+    Prefers the process with the fastest link in the local data centre,
+    because it sends updates to every entry there, and among equals one that
+    isn't a log replica. Then come the other local processes, the leader, and
+    all known processes.
 
     :param seeds: addresses from the settings; may be out of date.
     """
@@ -35,25 +36,25 @@
         self.failed_at: dict[str, float] = {}
 
     def learn(self, reply: messages.WatchReply) -> None:
-        """Learn which control processes there are."""
+        """Update the known control processes from a watch reply."""
         if reply.core:
             self.core = reply.core
         if reply.nodes is not None:
             self.nodes = reply.nodes
 
     def failed(self, address: str, now: float) -> None:
-        """Learn that a control process gave no answer."""
+        """Record that a control process didn't answer."""
         self.failed_at[address] = now
 
     def not_in_touch(self, address: str, leader: str, now: float) -> None:
-        """Learn that a control process is out of touch with the leader."""
+        """Record that a control process has no contact with the leader."""
         self.failed(address, now)
         self.leader = '' if leader == address else leader
 
     def choose(self, current: str, now: float) -> str:
-        """Return the process to ask next.
+        """Return the address of the process to poll next.
 
-        :param current: the one that answered last, or ``''``.
+        :param current: address that answered last, or ``''``.
         """
         for group in self._groups():
             if current in group:
--- a/src/bulrushhold/decisions/_fairqueue.py
+++ b/src/bulrushhold/decisions/_fairqueue.py
@@ -1,8 +1,8 @@
 """Weighted fair queueing of requests by engine tokens.
 
-Start-time fair queueing (Goyal, Vin and Cheng, 1996): a flow's next request
-starts at the virtual time at which its last one, divided by its weight, would
-have ended. A burst of one flow then waits behind its own requests only.
+Implements start-time fair queueing (Goyal, Vin and Cheng, 1996): the start
+tag of a request is the finish tag of the previous request of its flow. A
+burst in one flow delays only later requests of that flow.
 """
 
 import collections
@@ -16,9 +16,9 @@
 
 @attrs.define
 class _Flow:
-    """One row's queue.
+    """Queue of one row of the limits table.
 
-    :param finish: virtual time at which its last request ends.
+    :param finish_time: virtual finish time of the last dequeued request.
     """
 
     weight: float
@@ -29,7 +29,7 @@
 
 
 class FairQueue:
-    """Requests that wait for one of ``capacity`` places."""
+    """Fair queue of requests for ``capacity`` concurrent slots."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
@@ -41,11 +41,11 @@
 
     @property
     def waiting(self) -> int:
-        """Requests in the queue."""
+        """Number of queued requests."""
         return sum(len(flow.items) for flow in self.flows.values())
 
     def push(self, name: str, weight: float, cost: float, item: t.Any) -> None:
-        """Queue a request of ``cost`` expected tokens."""
+        """Enqueue a request with ``cost`` expected tokens."""
         flow = self.flows.get(name)
         if flow is None:
             flow = self.flows[name] = _Flow(weight)
@@ -53,9 +53,9 @@
         flow.items.append((cost, item))
 
     def pop(self, ready: cabc.Callable[[str], bool]) -> t.Any | None:
-        """Return the next request that may start, or ``None``.
+        """Dequeue the next request that may start, or return ``None``.
 
-        :param ready: whether a flow's limits allow one more.
+        :param ready: returns whether a flow's limits allow another request.
         """
         if self.running >= self.capacity:
             return None
@@ -78,7 +78,7 @@
         return item
 
     def remove(self, name: str, item: t.Any) -> bool:
-        """Take a request out that waits no more."""
+        """Remove a cancelled request; return whether it was queued."""
         flow = self.flows.get(name)
         for entry in flow.items if flow else ():
             if entry[1] is item:
@@ -89,7 +89,7 @@
     def done(
         self, name: str, expected: float, actual: float, now: float
     ) -> None:
-        """Free a place, and charge the flow what it really used."""
+        """Release a slot and charge the flow for the tokens it used."""
         self.running -= 1
         flow = self.flows.get(name)
         if flow is not None:
@@ -103,10 +103,10 @@
         self._drop_idle_flows()
 
     def expected_wait(self, name: str, weight: float) -> float:
-        """Return seconds that a new request of a flow will wait.
+        """Return the estimated wait of a new request of a flow, in seconds.
 
-        Its share of the places that come free, by its weight among the
-        flows that wait.
+        Assumes that released slots are shared among the waiting flows in
+        proportion to their weights.
         """
         if self.running < self.capacity and not self.waiting:
             return 0.0
@@ -120,7 +120,7 @@
         )
 
     def _drop_idle_flows(self) -> None:
-        """Drop flows that owe nothing; they start at the present time."""
+        """Drop empty flows whose finish time isn't ahead of virtual time."""
         idle = [
             name
             for name, flow in self.flows.items()
--- a/src/bulrushhold/decisions/_homes.py
+++ b/src/bulrushhold/decisions/_homes.py
@@ -1,8 +1,8 @@
-"""Which instances hold what: rendezvous hashing over data centres.
+"""Placement of keys on entries by rendezvous hashing.
 
-Highest random weight (Thaler and Ravishankar, 1998): every process that
-knows the same instances picks the same homes without a message, and the
-loss of one moves only what was on it.
+With highest-random-weight hashing (Thaler and Ravishankar, 1998), processes
+that see the same instances choose the same home entries without
+coordination, and losing an instance remaps only the keys on it.
 """
 
 import collections.abc as cabc
@@ -20,7 +20,7 @@
 def ranked(
     key: str, candidates: cabc.Iterable[_T], name: cabc.Callable[[_T], str]
 ) -> list[_T]:
-    """Return the candidates, the one of most weight for the key first."""
+    """Return the candidates by descending rendezvous weight for a key."""
     digest = xxhash.xxh3_64_intdigest
     return sorted(
         candidates,
@@ -32,10 +32,10 @@
 def homes(
     key: str, entries: cabc.Iterable[ports.Instance], count: int
 ) -> list[ports.Instance]:
-    """Return ``count`` entries for a key, in differing data centres.
+    """Return the ``count`` home entries of a key, in distinct data centres.
 
-    Where there are fewer data centres than homes, the best of the rest
-    follow.
+    If there are fewer data centres than ``count``, the next-ranked entries
+    fill the remainder.
     """
     ranking = ranked(key, entries, lambda entry: entry.name)
     return _spread_over_data_centres(ranking, count, set())
@@ -44,11 +44,10 @@
 def copy_peers(
     own: ports.Instance, entries: cabc.Iterable[ports.Instance], count: int
 ) -> list[ports.Instance]:
-    """Return the peers that hold one entry's transcripts.
+    """Return the peers that store copies of an entry's transcripts.
 
-    They follow from the entry and not from the key: with 390 entries and
-    homes by key, every token would be a message of its own to one of 389
-    peers; with few peers, one message carries a batch of streams.
+    Peers are chosen by entry, not by key, so that one message to a peer
+    can carry tokens of many streams.
     """
     others = [entry for entry in entries if entry.name != own.name]
     ranking = ranked(f'copies of {own.name}', others, lambda e: e.name)
@@ -69,11 +68,11 @@
 
 
 def entries_wanted(share: float, entries: int) -> int:
-    """Return over how many entries an account's callers are spread.
+    """Return over how many entries an account's requests are spread.
 
-    1 for a small account: its callers all use the first of a few.
+    Returns 1 for a small account, whose callers all prefer the same entry.
 
-    :param share: of the sum of all accounts' weights, 0 to 1.
+    :param share: the account's share of the total weight, 0 to 1.
     """
     count = min(entries, math.ceil(2 * share * entries))
     return count if count > SMALL_ACCOUNT_ENTRIES else 1
@@ -85,12 +84,12 @@
     entries: list[ports.Instance],
     near: str = '',
 ) -> list[ports.Instance]:
-    """Return the entries that an account should use, in order.
+    """Return the entries that an account should use, in order of preference.
 
-    A small account gets a stable few, so that its limits are split few
-    ways; a large one gets more, so that no entry carries it alone.
+    A small account gets a small stable set, so that its limits aren't
+    fragmented; a large account gets more entries to spread its load.
 
-    :param share: of the sum of all accounts' weights, 0 to 1.
+    :param share: the account's share of the total weight, 0 to 1.
     :param near: the caller's data centre, whose entries come first.
     """
     count = max(SMALL_ACCOUNT_ENTRIES, entries_wanted(share, len(entries)))
--- a/src/bulrushhold/decisions/_lifecycle.py
+++ b/src/bulrushhold/decisions/_lifecycle.py
@@ -1,4 +1,4 @@
-"""States of a generation, and the moves between them."""
+"""State machine of a generation."""
 
 import typing as t
 
@@ -36,22 +36,22 @@
 
 @attrs.define(slots=False)
 class Lifecycle:
-    """The state of one generation.
+    """Current state of one generation.
 
-    A move that its state doesn't allow raises
-    ``transitions.MachineError``: a finished answer can't be refused and
-    a refused one can't stream.
+    A transition that isn't allowed in the current state raises
+    ``transitions.MachineError``; a refused generation can't start to
+    stream, for example.
     """
 
     state: str = 'accepted'
 
     def move(self, name: str) -> None:
-        """Make a move, one of the triggers of the machine."""
+        """Fire a trigger of the state machine by its name."""
         _MACHINE.events[name].trigger(self)
 
     @property
     def ended(self) -> bool:
-        """Whether the generation has its final state."""
+        """Whether the generation is in a final state."""
         return self.state in FINAL_STATES
 
 
--- a/src/bulrushhold/decisions/_membership.py
+++ b/src/bulrushhold/decisions/_membership.py
@@ -17,8 +17,8 @@
 from bulrushhold import messages
 from bulrushhold import ports
 
-PROTOCOL_PERIOD_S: t.Final = 1.0
-PROBE_TIMEOUT_S: t.Final = 0.3
+PERIOD_S: t.Final = 1.0
+PROBE_S: t.Final = 0.3
 SUSPICION_TIMEOUT_S: t.Final = 2.0
 INDIRECT_PROBES: t.Final = 3
 UPDATES_PER_MESSAGE: t.Final = 6
