--- a/src/bulrushhold/decisions/_members.py
+++ b/src/bulrushhold/decisions/_members.py
@@ -1,4 +1,4 @@
-"""How a replica with an empty disk replaces its former self."""
+"""Raft membership changes: adding learners and replacing voters."""
 
 import os
 import typing as t
@@ -9,36 +9,39 @@
 from bulrushhold import messages
 
 
-# Ten lost beats and an election's length: longer than any pause of a process
-# that merely syncs or is short of processor time.
+# A voter that hasn't acknowledged a heartbeat for this long may be replaced;
+# longer than a pause for a disk sync or CPU starvation.
 VOTER_TIMEOUT_S: t.Final = 1.5
-# A learner that answered within this time can be relied on for the next
-# majority.
+# A learner is promoted only if it acknowledged a heartbeat this recently.
 LEARNER_TIMEOUT_S: t.Final = 1.0
 
 
 @attrs.frozen
 class MemberChange:
-    """One membership change and why it is made."""
+    """A configuration to propose and the reason for it."""
 
     config: messages.Config
     reason: str
 
 
 def new_identity(name: str) -> str:
-    """Return an identity that no replica has had before."""
+    """Return a unique replica identity for a control instance."""
     return f'{name}.{os.urandom(6).hex()}'
 
 
 def instance_name(replica: str) -> str:
-    """Return the control instance's name within an identity."""
+    """Return the control instance name in a replica identity."""
     return replica.partition('.')[0]
 
 
 def with_learner(
     replica: _replica.Replica, request: messages.JoinRequest
 ) -> messages.Config | None:
-    """Return the members with one more learner, or ``None``."""
+    """Return the configuration with the requester added as a learner.
+
+    ``None`` if it is a member already. Replaces a learner of the same
+    instance.
+    """
     config = replica.config
     if request.replica in config.voters or request.replica in config.learners:
         return None
@@ -54,16 +57,16 @@
 def next_config(
     replica: _replica.Replica, now: float | None = None, voter_count: int = 0
 ) -> MemberChange | None:
-    """Return the next step of a replacement or repair, if one is due.
+    """Return the next configuration change of a replacement, or ``None``.
 
-    The learner first gets a vote, once it holds all that is committed;
-    only then does the lost replica lose its own. In the other order, the
-    loss of one more replica in between could take the last full copy.
+    A caught-up learner is promoted before the lost voter is removed.
+    Removing the voter first would leave one copy of the log fewer until the
+    promotion, and another failure could lose committed entries.
 
-    :param now: seconds of the replica's clock; ``None`` to pass over
-        how long ago others were heard.
-    :param wanted: voters to have; fewer are filled up from the learners,
-        and a voter that is silent is replaced by one.
+    :param now: seconds of the replica's clock; ``None`` to ignore how long
+        ago members acknowledged a heartbeat.
+    :param voter_count: target number of voters. Learners fill up missing
+        voters and replace unresponsive ones.
     """
     config = replica.config
     removal = _voter_to_remove(replica, now, voter_count)
@@ -86,7 +89,7 @@
             voters = {**config.voters, ident: address}
             return MemberChange(
                 messages.Config(voters, learners),
-                f'{ident} holds all that is committed',
+                f'{ident} holds every committed entry',
             )
     return None
 
@@ -96,13 +99,13 @@
 ) -> tuple[str, str] | None:
     replaced = _replaced_voter(replica.config)
     if replaced is not None:
-        return replaced, f'{replaced} was replaced; its disk is gone'
+        return replaced, f'{replaced} lost its disk and was replaced'
     if voter_count and len(replica.config.voters) > voter_count:
         unresponsive = _unresponsive_voters(replica, now)
         if unresponsive:
             return unresponsive[
                 0
-            ], f'{unresponsive[0]} is silent and was replaced'
+            ], f'{unresponsive[0]} is unresponsive and was replaced'
     return None
 
 
@@ -122,10 +125,10 @@
 def _caught_up(
     replica: _replica.Replica, ident: str, now: float | None
 ) -> bool:
-    """Whether a learner holds all that is committed, and is alive.
+    """Whether a learner holds every committed entry and is responsive.
 
-    In a quiet log a learner that is gone holds everything too; a vote
-    for it would make every later majority harder to reach.
+    While nothing is appended, a crashed learner still counts as caught up;
+    promoting it would raise the quorum without adding a live voter.
     """
     progress = replica.progress.get(ident)
     return (
@@ -136,7 +139,7 @@
 
 
 def _replaced_voter(config: messages.Config) -> str | None:
-    """Return the elder of two voters of one instance."""
+    """Return the older of two voters that belong to one instance."""
     voter_by_instance: dict[str, str] = {}
     for ident in config.voters:
         name = instance_name(ident)
--- a/src/bulrushhold/decisions/_membership.py
+++ b/src/bulrushhold/decisions/_membership.py
@@ -1,9 +1,10 @@
-"""Which entries are live, at a cost per entry that doesn't grow.
+"""Failure detection among entries with constant load per entry.
 
-After SWIM (Das, Gupta and Motivala, 2002) with incarnation numbers: each
-period an entry probes one other; where no answer comes it asks a few others
-to probe it; then it spreads a suspicion, which the suspect may refute. News
-ride on the probes. The platform's list, which lags, says who may be a member.
+Implements SWIM (Das, Gupta and Motivala, 2002) with incarnation numbers. In
+each period an entry probes one member, directly and then through a few
+others. A member that doesn't answer is suspected, and may refute that.
+Updates are piggybacked on probes. Only entries in the platform's list, which
+may lag, can be members.
 """
 
 import collections.abc as cabc
@@ -26,7 +27,7 @@
 
 
 class Status(enum.StrEnum):
-    """What is thought of a member, the graver the later."""
+    """Status of a member, in order of increasing severity."""
 
     ALIVE = 'alive'
     SUSPECT = 'suspect'
@@ -41,7 +42,7 @@
 
 @attrs.define
 class _Member:
-    """One other entry."""
+    """Membership state of another entry."""
 
     instance: ports.Instance
     incarnation: int = 0
@@ -51,16 +52,17 @@
 
 @attrs.define
 class _QueuedUpdate:
-    """Something to be told, a bounded number of times."""
+    """An update to piggyback on a limited number of messages."""
 
     item: messages.MemberNews
     remaining_sends: int
 
 
 class Membership:
-    """What one entry knows of the others.
+    """An entry's view of the other entries.
 
-    :param incarnation: grows with every start; milliseconds serve.
+    :param incarnation: must be higher after every restart, for example the
+        start time in milliseconds.
     """
 
     def __init__(
@@ -75,7 +77,7 @@
         self.update_queue: dict[str, _QueuedUpdate] = {}
 
     def update_list(self, entries: cabc.Iterable[ports.Instance]) -> None:
-        """Take in the platform's list of entries."""
+        """Add and remove members according to the platform's list."""
         listed = {e.name: e for e in entries if e.name != self.name}
         for name in self.members.keys() - listed.keys():
             del self.members[name]
@@ -88,7 +90,7 @@
                 member.instance = instance
 
     def usable(self, name: str) -> bool:
-        """Whether an entry may be given to callers, or be asked."""
+        """Whether an entry may be offered to callers or sent requests."""
         if name == self.name:
             return self.status is Status.ALIVE
         member = self.members.get(name)
@@ -98,9 +100,10 @@
         )
 
     def next_target(self) -> ports.Instance | None:
-        """Return whom to probe: all in turn, in an order drawn anew.
+        """Return the next member to probe: round-robin, reshuffled each time.
 
-        The dead are probed too, so that both sides of a healed cut meet.
+        Dead members are probed too, so that both sides find each other
+        again after a network partition.
         """
         while True:
             if not self.probe_order:
@@ -113,7 +116,7 @@
                 return member.instance
 
     def helpers(self, target: str) -> list[ports.Instance]:
-        """Return others who are to probe a silent target."""
+        """Return the members that probe an unresponsive target indirectly."""
         alive = [
             member.instance
             for name, member in self.members.items()
@@ -122,17 +125,17 @@
         return self.rng.sample(alive, min(INDIRECT_PROBES, len(alive)))
 
     def answered(self, name: str, now: float) -> None:
-        """Learn that an entry answered a probe itself."""
+        """Record that an entry answered a direct probe."""
         member = self.members.get(name)
         if member is not None and member.status is Status.SUSPECT:
-            # Only the suspect's own word, with a higher incarnation, ends
-            # the suspicion elsewhere; here its answer is enough.
+            # Other entries drop the suspicion only on an update with a
+            # higher incarnation from the suspected member itself.
             self._set_status(
                 name, member, member.incarnation, Status.ALIVE, now
             )
 
     def silent(self, name: str, now: float) -> None:
-        """Learn that an entry answered neither us nor the helpers."""
+        """Record that an entry answered no direct or indirect probe."""
         member = self.members.get(name)
         if member is not None and member.status is Status.ALIVE:
             self._set_status(
@@ -140,7 +143,7 @@
             )
 
     def tick(self, now: float) -> None:
-        """Take suspects for dead whose time is over."""
+        """Declare members dead whose suspicion has timed out."""
         for name, member in self.members.items():
             if (
                 member.status is Status.SUSPECT
@@ -153,7 +156,7 @@
     def hear(
         self, updates: cabc.Iterable[messages.MemberNews], now: float
     ) -> None:
-        """Take in news; a higher incarnation wins, then the graver word."""
+        """Apply updates: the higher incarnation wins, then the severity."""
         for item in updates:
             status = Status(item.status)
             if item.name == self.name:
@@ -172,7 +175,7 @@
                 )
 
     def tell(self) -> list[messages.MemberNews]:
-        """Return news for one message; the own word always goes along."""
+        """Return the updates for one message, this entry's status first."""
         outgoing = [self._own_update()]
         queued = sorted(
             self.update_queue.items(),
@@ -187,7 +190,7 @@
         return outgoing
 
     def leave(self) -> messages.MemberNews:
-        """Say that this entry takes nothing new, and return the news."""
+        """Mark this entry as leaving and return the update to send."""
         self.incarnation += 1
         self.status = Status.LEAVING
         return self._own_update()
--- a/src/bulrushhold/decisions/_quota.py
+++ b/src/bulrushhold/decisions/_quota.py
@@ -1,10 +1,10 @@
-"""Limits of a row shared by all entries: short leases from a home.
+"""Distributed rate and concurrency limits with short leases.
 
-Each row has one home among the entries (rendezvous hash). The home splits
-most of the row's limits into leases; the rest is split evenly among all
-entries beforehand, as a floor that needs no home. Leases that may still be
-in use are never granted again, so that the sum over the entries doesn't pass
-the table, also when a holder is frozen or a home is replaced.
+The limits of a table row are divided among the entries. A fixed share is
+split evenly as a floor that needs no coordination; the rest is granted in
+leases by the row's home entry (rendezvous hashing). A lease is never granted
+again before it expires, so that the sum over all entries stays within the
+row's limits even when a holder is suspended or the home is replaced.
 """
 
 import math
@@ -23,10 +23,10 @@
 
 @attrs.define
 class _Holder:
-    """One entry's lease, as the home knows it.
+    """An entry's lease as recorded by the home.
 
-    :param want: its claim to a part.
-    :param slots: requests at once that it may run, or runs still.
+    :param want: demand that determines the entry's share.
+    :param slots: concurrent requests that it may run or is still running.
     """
 
     want: float
@@ -36,7 +36,7 @@
 
 
 class QuotaHome:
-    """Grants leases for the rows whose home this entry is.
+    """Grants leases for the rows that have this entry as their home.
 
     :param now: monotonic seconds.
     """
@@ -46,17 +46,17 @@
         self.grants_allowed_at = now + LEASE_S
 
     def homes_changed(self, now: float) -> None:
-        """Learn that rows may have come here from other homes."""
+        """Delay first grants after rows may have moved from other homes."""
         self.grants_allowed_at = now + LEASE_S
 
     def grant(
         self, ask: messages.QuotaAsk, row: messages.Row, now: float
     ) -> messages.QuotaGrant:
-        """Grant a lease within what no other lease may still use.
+        """Grant a lease from what isn't held by other leases.
 
-        A row that is new here, soon after the entries have changed, may
-        have had another home, whose leases are still in use: the wait of
-        one lease time outlasts all of them.
+        A row seen for the first time shortly after the entries changed may
+        have leases from its previous home. Nothing is granted for it until
+        all of those have expired.
         """
         has_leases = ask.row in self.rows
         holders = self.rows.setdefault(ask.row, {})
@@ -73,11 +73,11 @@
         holder.rate = max(0.0, min(rate_limit * share, free_rate))
         slot_limit = leased_slots(row, ask.entries)
         free_slots = slot_limit - sum(h.slots for h in others)
-        # What isn't needed stays free for whoever comes next.
+        # Slots beyond the holder's need stay available to other holders.
         slots = min(max(1, round(slot_limit * share)), free_slots, ask.need)
         slots = max(0, slots)
-        # What runs there already counts until it ends, but the holder is
-        # not to start anything in its place.
+        # Running requests count against the limit until they end, although
+        # the holder may not replace them.
         holder.slots = max(slots, ask.running)
         holder.expires_at = now + LEASE_S
         return messages.QuotaGrant(holder.rate, slots, LEASE_S)
@@ -87,7 +87,7 @@
             del holders[name]
 
     def forget(self, now: float) -> None:
-        """Drop the rows without leases."""
+        """Drop expired leases and the rows without any."""
         for key, holders in list(self.rows.items()):
             self._expire(holders, now)
             if not holders:
@@ -95,23 +95,23 @@
 
 
 def floor_slots(row: messages.Row, entries: int) -> int:
-    """Return the requests at once that every entry may always run."""
+    """Return the concurrent requests that each entry may always run."""
     return math.floor(row.concurrency * FLOOR_SHARE / max(1, entries))
 
 
 def leased_slots(row: messages.Row, entries: int) -> int:
-    """Return the requests at once that the home may split up."""
+    """Return the concurrent requests that the home may lease."""
     return row.concurrency - floor_slots(row, entries) * entries
 
 
 @attrs.define
 class QuotaShare:
-    """This entry's share of one row's limits: floor and lease.
+    """This entry's share of a row's limits: floor plus lease.
 
-    :param granted_from: when the ask for the lease left, in monotonic
-        seconds; the lease is counted from there, as the home counts it
-        from later.
-    :param tokens: what may still be spent; below 0 it is a debt.
+    :param granted_from: monotonic seconds at which the lease was requested.
+        The lease runs from there, so it ends before the home's record.
+    :param tokens: level of the token bucket; negative after a request used
+        more than expected.
     """
 
     row: messages.Row
@@ -126,35 +126,35 @@
     used_at: float = 0.0
 
     def take_grant(self, grant: messages.QuotaGrant, sent: float) -> None:
-        """Take in a lease that was asked for at ``sent``."""
+        """Apply a lease that was requested at ``sent``."""
         self._refill(sent)
         self.rate = grant.rate
         self.slots = grant.slots
         self.granted_from = sent
 
     def allows(self, now: float) -> bool:
-        """Whether one more request may start now."""
+        """Whether another request may start now."""
         self._refill(now)
         if self.row.concurrency and self.running >= self._slot_limit(now):
             return False
         return not self.row.token_rate or self.tokens > 0
 
     def start(self, expected: float, now: float) -> None:
-        """Count a request that starts, with its expected tokens."""
+        """Record the start of a request and deduct its expected tokens."""
         self._refill(now)
         self.running += 1
         self.used_at = now
         self.tokens -= expected
 
     def finish(self, expected: float, actual: float, now: float) -> None:
-        """Count its end, and settle what was expected."""
+        """Record the end of a request and settle its actual tokens."""
         self._refill(now)
         self.running -= 1
         self.used_at = now
         self.tokens += expected - actual
 
     def retry_after(self, now: float) -> float:
-        """Return seconds until tokens are there again."""
+        """Return seconds until tokens are available again."""
         self._refill(now)
         if self.row.token_rate and self.tokens <= 0:
             rate = max(self._rate_limit(now), self.row.token_rate * 0.01)
@@ -163,20 +163,20 @@
 
     @property
     def need(self) -> int:
-        """Requests at once that could be used before the next renewal."""
+        """Concurrent requests that may be needed before the next renewal."""
         return math.ceil(NEED_FACTOR * (self.running + self.waiting)) + 2
 
     def slots_now(self, now: float) -> int:
-        """Return the requests at once that may run now."""
+        """Return the concurrent requests allowed now."""
         return self._slot_limit(now)
 
     def leased(self, now: float) -> bool:
-        """Whether a lease with any slots is in force."""
+        """Whether an unexpired lease with slots is held."""
         return self.slots > 0 and self._lease_active(now)
 
     @property
     def running_on_lease(self) -> int:
-        """Requests at once beyond the floor."""
+        """Concurrent requests beyond the floor."""
         return max(0, self.running - floor_slots(self.row, self.entries))
 
     @property
--- a/src/bulrushhold/decisions/_raftlog.py
+++ b/src/bulrushhold/decisions/_raftlog.py
@@ -1,4 +1,4 @@
-"""The entries of one replica, on top of its snapshot."""
+"""Raft log of one replica: a snapshot and the entries after it."""
 
 import msgspec
 
@@ -6,9 +6,9 @@
 
 
 class RaftLog:
-    """Entries by index, and the members that the newest of them name.
+    """Log entries by index, and the latest configuration among them.
 
-    :param snapshot: stands for all entries up to its index.
+    :param snapshot: replaces all entries up to its index.
     """
 
     def __init__(
@@ -22,18 +22,18 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry, saved or not."""
+        """Index of the last entry, whether persisted or not."""
         return self.snapshot.index + len(self.entries)
 
     def slice(self, first: int, count: int) -> list[messages.LogEntry]:
-        """Return up to ``count`` entries from index ``first`` on."""
+        """Return up to ``count`` entries, starting at index ``first``."""
         start = first - self.snapshot.index - 1
         return self.entries[start : start + count]
 
     def slice_within(
         self, first: int, count: int, limit: int
     ) -> list[messages.LogEntry]:
-        """Return entries within ``limit`` bytes, but at least one."""
+        """Return entries of at most ``limit`` bytes, but at least one."""
         entries = self.slice(first, count)
         size = 0
         for number, entry in enumerate(entries):
@@ -43,7 +43,7 @@
         return entries
 
     def term_of(self, index: int) -> int:
-        """Return the term of an entry; 0 where it isn't known."""
+        """Return the term of an entry, or 0 if the log doesn't hold it."""
         if index == self.snapshot.index:
             return self.snapshot.index_term
         if index < self.snapshot.index or index > self.last_index:
@@ -51,19 +51,19 @@
         return self.entries[index - self.snapshot.index - 1].term
 
     def append(self, entry: messages.LogEntry) -> None:
-        """Add the next entry."""
+        """Append an entry, and adopt its configuration if it has one."""
         self.entries.append(entry)
         if entry.kind == messages.KIND_CONFIG:
             self.refresh_config()
 
     def truncate(self, index: int) -> None:
-        """Drop the entry at ``index`` and all after it."""
+        """Remove the entry at ``index`` and all later ones."""
         del self.entries[index - self.snapshot.index - 1 :]
         if self.config_index >= index:
             self.refresh_config()
 
     def replace(self, snapshot: messages.InstallSnapshot) -> None:
-        """Let a snapshot stand for everything."""
+        """Replace the whole log by a snapshot."""
         self.snapshot = snapshot
         self.entries = []
         self.refresh_config()
@@ -71,9 +71,11 @@
     def compact(
         self, index: int, term: int, ident: str, state: bytes
     ) -> messages.InstallSnapshot:
-        """Drop the entries up to ``index`` in favour of a snapshot.
+        """Replace the entries up to ``index`` by a snapshot.
 
-        :param term: of the replica, whose ``ident`` is given.
+        :param term: current term of the replica.
+        :param ident: identity of the replica.
+        :param state: encoded state machine as of ``index``.
         """
         kept = self.slice(index + 1, self.last_index - index)
         self.snapshot = messages.InstallSnapshot(
@@ -89,10 +91,9 @@
         return self.snapshot
 
     def leader_of(self, term: int) -> str:
-        """Return who led a term, where the log ends in its entries.
+        """Return the leader of a term from the no-op entry that starts it.
 
-        The first entry of a term names its leader; ``''`` where a snapshot
-        has taken its place.
+        ``''`` unless the log ends in that term and still holds the no-op.
         """
         for entry in reversed(self.entries):
             if entry.term != term:
@@ -102,7 +103,7 @@
         return ''
 
     def refresh_config(self) -> None:
-        """Take the members from the last configuration in the log."""
+        """Set the configuration from the last configuration entry."""
         self.config_index = self.snapshot.index
         self.config = self.snapshot.config
         for entry in reversed(self.entries):
@@ -112,7 +113,7 @@
                 return
 
     def config_at(self, index: int) -> messages.Config:
-        """Return the members as of an entry."""
+        """Return the configuration as of ``index``."""
         config = self.snapshot.config
         for entry in self.entries:
             if entry.index > index:
--- a/src/bulrushhold/decisions/_recovery.py
+++ b/src/bulrushhold/decisions/_recovery.py
@@ -1,4 +1,4 @@
-"""When an engine's silence counts as a loss, and what follows."""
+"""Stall detection and recovery policies for generations."""
 
 import abc
 import enum
@@ -11,11 +11,10 @@
 
 @attrs.define
 class GapEstimate:
-    """Recent gaps between tokens of one engine, in seconds.
+    """Estimate of an engine's inter-token latency, in seconds.
 
-    Smoothed mean and deviation, with the gains of RFC 6298. An engine
-    that is slow for all its streams has a long estimate, and so isn't
-    taken for dead.
+    Smoothed mean and deviation with the gains of RFC 6298. The stall timeout
+    adapts to an engine that is slow for all its streams.
     """
 
     mean: float = 0.0
@@ -23,7 +22,7 @@
     samples: int = 0
 
     def add(self, gap: float) -> None:
-        """Take in one gap."""
+        """Add one inter-token latency sample."""
         if self.samples == 0:
             self.mean = gap
             self.deviation = gap / 2
@@ -34,7 +33,10 @@
         self.samples += 1
 
     def limit(self, factor: float, minimum: float, maximum: float) -> float:
-        """Return the silence, in seconds, after which to act."""
+        """Return the stall timeout in seconds.
+
+        ``maximum`` until there are enough samples.
+        """
         if self.samples < 8:
             return maximum
         expected = self.mean + 4 * self.deviation
@@ -42,7 +44,7 @@
 
 
 class Action(enum.StrEnum):
-    """What to do about an attempt that is silent."""
+    """Reaction to a stalled attempt."""
 
     WAIT = 'wait'
     RESERVE = 'reserve'
@@ -51,11 +53,11 @@
 
 @attrs.define
 class WorkBudget:
-    """Bounds engine work on attempts that turn out not to be needed.
+    """Budget for the extra engine work of hedged attempts.
 
-    :param share: extra tokens allowed, per token delivered.
-    :param floor: extra tokens allowed besides; it must cover the reserves
-        of all streams of one engine, which are under way at once.
+    :param share: extra tokens allowed per delivered token.
+    :param floor: extra tokens always allowed; must cover concurrent hedges
+        for all streams of one engine.
     """
 
     share: float
@@ -64,26 +66,28 @@
     spent: float = 0.0
 
     def allows(self, tokens: float) -> bool:
-        """Whether that many extra tokens may be spent."""
+        """Whether the budget covers that many extra tokens."""
         limit = self.floor + self.share * self.delivered
         return self.spent + tokens <= limit
 
     def spend(self, tokens: float) -> None:
-        """Count extra tokens."""
+        """Charge extra tokens to the budget."""
         self.spent += tokens
 
     def refund(self, tokens: float) -> None:
-        """Take back tokens that a loss would have cost anyway."""
+        """Return tokens of a hedge that turned out to be needed."""
         self.spent = max(0.0, self.spent - tokens)
 
 
 class RecoveryPolicy(abc.ABC):
-    """Decides about silence; lost connections need no decision.
+    """Decides how to react to a stalled attempt.
+
+    A lost connection is replaced at once, without asking the policy.
 
-    :param gap_factor: times the expected gap is the silence of a loss.
-    :param min_gap_s: least silence of a loss, in seconds.
-    :param max_gap_s: most silence that is waited through, in seconds.
-    :param first_token_s: the same before the first token, in seconds.
+    :param gap_factor: stall timeout as a multiple of the expected gap.
+    :param min_gap_s: lower bound of the stall timeout, in seconds.
+    :param max_gap_s: upper bound of the stall timeout, in seconds.
+    :param first_token_s: stall timeout before the first token, in seconds.
     """
 
     def __init__(
@@ -101,9 +105,9 @@
         self.budget = budget
 
     def loss_after(self, gaps: GapEstimate, *, started: bool) -> float:
-        """Return the silence, in seconds, that counts as a loss.
+        """Return the stall timeout of an attempt, in seconds.
 
-        :param started: whether the attempt has sent a token.
+        :param started: whether the attempt has produced a token.
         """
         if not started:
             return self.first_token_s
@@ -111,7 +115,7 @@
 
     @abc.abstractmethod
     def check_after(self, gaps: GapEstimate, *, started: bool) -> float:
-        """Return the silence, in seconds, after which to ask again."""
+        """Return the idle time, in seconds, at which to decide next."""
 
     @abc.abstractmethod
     def on_silence(
@@ -123,18 +127,19 @@
         reserve: bool,
         cost: int,
     ) -> Action:
-        """Decide about a silent attempt.
+        """Decide about an attempt that has produced no token for a while.
 
-        :param reserve: whether a second attempt already runs.
-        :param cost: tokens an engine works to take the answer over.
+        :param silence: seconds since the last token.
+        :param reserve: whether a hedged attempt is already running.
+        :param cost: tokens that an engine must process to take over.
         """
 
 
 class ThriftyPolicy(RecoveryPolicy):
-    """Waits longer and runs one attempt at a time."""
+    """Runs one attempt at a time and replaces it when it stalls."""
 
     def check_after(self, gaps: GapEstimate, *, started: bool) -> float:
-        """Return the silence that counts as a loss."""
+        """Return the stall timeout."""
         return self.loss_after(gaps, started=started)
 
     def on_silence(
@@ -146,7 +151,7 @@
         reserve: bool,
         cost: int,
     ) -> Action:
-        """Replace the attempt once its silence counts as a loss."""
+        """Replace the attempt after the stall timeout."""
         del reserve, cost
         if silence >= self.loss_after(gaps, started=started):
             return Action.REPLACE
@@ -154,16 +159,16 @@
 
 
 class PromptPolicy(RecoveryPolicy):
-    """Starts a second attempt early, while the first may yet go on.
+    """Starts a hedged attempt before the first one times out.
 
-    Whichever delivers the next token first is kept. The extra work is
-    bounded by the budget; without it, this policy is the thrifty one.
+    The attempt that delivers the next token first is kept. Hedging stops
+    while the work budget is exhausted.
     """
 
     HEDGE_FRACTION: float = 0.4
 
     def check_after(self, gaps: GapEstimate, *, started: bool) -> float:
-        """Return a part of the silence that counts as a loss."""
+        """Return the idle time after which a hedge is started."""
         return self.HEDGE_FRACTION * self.loss_after(gaps, started=started)
 
     def on_silence(
@@ -175,7 +180,7 @@
         reserve: bool,
         cost: int,
     ) -> Action:
-        """Reserve early, within the budget; replace at the loss."""
+        """Hedge within the budget; replace after the stall timeout."""
         if silence >= self.loss_after(gaps, started=started):
             return Action.REPLACE
         hedge_after = self.check_after(gaps, started=started)
