--- a/src/bulrushhold/decisions/_quota.py
+++ b/src/bulrushhold/decisions/_quota.py
@@ -108,7 +108,7 @@
 class QuotaShare:
     """This entry's share of a row's limits: floor plus lease.
 
-    :param granted_from: monotonic seconds at which the lease was requested.
+    :param lease_start: monotonic seconds at which the lease was requested.
         The lease runs from there, so it ends before the home's record.
     :param tokens: level of the token bucket; negative after a request used
         more than expected.
--- a/src/bulrushhold/decisions/_recovery.py
+++ b/src/bulrushhold/decisions/_recovery.py
@@ -130,7 +130,7 @@
         """Decide about an attempt that has produced no token for a while.
 
         :param silence: seconds since the last token.
-        :param reserve: whether a hedged attempt is already running.
+        :param hedged: whether a hedged attempt is already running.
         :param cost: tokens that an engine must process to take over.
         """
 
--- a/src/bulrushhold/decisions/_replica.py
+++ b/src/bulrushhold/decisions/_replica.py
@@ -1,10 +1,10 @@
-"""One replica of the replicated log, as pure decisions.
+"""Raft replica without I/O.
 
-After Raft (Ongaro and Ousterhout, 2014) with pre-vote, quorum check,
-leader lease and one membership change at a time (Ongaro's thesis,
-chapters 4, 6 and 9). Messages and ticks go in; what must be saved, sent
-and applied comes out of :meth:`Replica.take_ready`. The driver saves
-before it sends.
+Implements Raft (Ongaro and Ousterhout, 2014) with pre-vote, check quorum,
+leader leases and single-server membership changes (Ongaro's thesis,
+chapters 4, 6 and 9). The driver passes in messages and ticks, and takes what
+to save, send and apply from :meth:`Replica.take_ready`. It must save before
+it sends.
 """
 
 import random
@@ -18,16 +18,17 @@
 from bulrushhold import messages
 
 MAX_ENTRIES_PER_APPEND: t.Final = 512
-# Whole route maps go through the log: a follower that is far behind gets
-# them in parts that a link of 100 Mbit/s carries within one beat.
+# Log entries can hold whole route maps. The limit keeps one append to a
+# lagging follower within a heartbeat interval on a 100 Mbit/s link.
 MAX_BYTES_PER_APPEND: t.Final = 1 << 20
 
 
 class Replica:
-    """The decisions of one replica.
+    """Raft state machine of one replica.
 
-    :param ident: this replica's identity; a lost disk means a new one.
-    :param durable: what was read from the data folder.
+    :param ident: identity of the replica; a replica that lost its disk must
+        use a new one.
+    :param durable: persisted state read at start-up.
     :param now: monotonic seconds.
     """
 
@@ -58,9 +59,9 @@
         self.heartbeat_number = 0
         self.heartbeat_sent_at: dict[int, float] = {}
         self.next_heartbeat_at = 0.0
-        # A restart forgets which beats were acknowledged. Voting at once
-        # could elect a second leader within the first one's lease, so a
-        # started replica keeps silent as if it had just heard a leader.
+        # A restart loses the record of acknowledged heartbeats. Voting right
+        # away could elect a second leader during the lease of the first, so
+        # a replica starts as if it had just had contact with a leader.
         self.leader_contact_at = now
         self.started_at = now
         self.term_leader = self.log.leader_of(self.term)
@@ -70,33 +71,33 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry, saved or not."""
+        """Index of the last entry, whether persisted or not."""
         return self.log.last_index
 
     @property
     def config(self) -> messages.Config:
-        """The members, as the newest entry that names them has it."""
+        """Members according to the latest configuration in the log."""
         return self.log.config
 
     @property
     def commits_in_term(self) -> bool:
-        """Whether this replica leads and has committed in its term."""
+        """Whether this leader has committed an entry of its own term."""
         return (
             self.role is _roles.Role.LEADER
             and self.log.term_of(self.commit) == self.term
         )
 
     def lease_holds(self, now: float) -> bool:
-        """Whether no other leader can exist at ``now``.
+        """Whether the leader lease is valid, so no other leader can exist.
 
-        Call it with a clock read after any wait: a process frozen between
-        the check and the use would otherwise act on a lease gone by.
+        Pass a clock reading taken after the last wait; otherwise a process
+        that was suspended in between could act on an expired lease.
         """
         lease_end = self._quorum_acked_at() + self.timing.lease_s
         return self.commits_in_term and now < lease_end
 
     def silent_for(self, now: float) -> float:
-        """Return seconds since a leader was last heard; 0 as leader."""
+        """Return seconds since the last contact with a leader; 0 as leader."""
         return (
             0.0
             if self.role is _roles.Role.LEADER
@@ -104,13 +105,13 @@
         )
 
     def leader_address(self) -> str:
-        """Address of the leader, or ``''`` where unknown."""
+        """Return the address of the leader, or ``''`` if unknown."""
         return self.config.voters.get(self.leader, '')
 
     def propose(self, data: bytes) -> tuple[int, int] | None:
-        """Append a command as leader; return its index and term.
+        """Append a command as leader and return its index and term.
 
-        ``None`` where this replica isn't the leader: nothing happened.
+        Returns ``None`` and does nothing if this replica isn't the leader.
         """
         if self.role is not _roles.Role.LEADER:
             return None
@@ -118,10 +119,11 @@
         return self.last_index, self.term
 
     def change_config(self, config: messages.Config) -> bool:
-        """Start a membership change, unless one is under way.
+        """Start a membership change; return whether it was started.
 
-        Only one at a time, and only after an entry of this term is
-        committed; else two majorities that share no replica could form.
+        Refused while another change is uncommitted and before an entry of
+        the current term is committed. Otherwise two disjoint majorities
+        could form.
         """
         if not self.commits_in_term or self.log.config_index > self.commit:
             return False
@@ -129,7 +131,7 @@
         return True
 
     def tick(self, now: float) -> None:
-        """Let time pass: beats, elections, and the leader's own check."""
+        """Handle timers: heartbeats, elections and the quorum check."""
         if self.role is _roles.Role.LEADER:
             if now >= self.next_heartbeat_at:
                 self._broadcast(now)
@@ -142,14 +144,14 @@
                 self._reset_election(now)
 
     def wake_in(self, now: float) -> float:
-        """Return seconds until :meth:`tick` has something to do."""
+        """Return seconds until the next timer that :meth:`tick` handles."""
         is_leader = self.role is _roles.Role.LEADER
         return (
             self.next_heartbeat_at if is_leader else self.election_at
         ) - now
 
     def receive(self, message: messages.Message, now: float) -> None:
-        """Take one message from another replica."""
+        """Handle a message from another replica."""
         if isinstance(message, messages.VoteRequest):
             self._on_vote_request(message, now)
         elif isinstance(message, messages.VoteReply):
@@ -162,17 +164,19 @@
             self._on_snapshot(message, now)
 
     def flush(self, now: float) -> None:
-        """As leader, send appended entries without waiting for a beat."""
+        """Send new entries as leader without waiting for a heartbeat."""
         if self.role is _roles.Role.LEADER and any(
             p.next <= self.last_index for p in self.progress.values()
         ):
             self._broadcast(now)
 
     def take_ready(self) -> _roles.Ready:
-        """Return what there is to do; the driver then calls `saved_up_to`.
+        """Return the pending work of the driver.
 
-        :returns: entries to save, messages to send once they are saved,
-            and committed entries to apply.
+        The driver calls ``mark_saved`` once the entries are synced.
+
+        :returns: entries to save, messages to send after that, and committed
+            entries to apply.
         """
         ready = self._ready
         ready.term, ready.vote = self.term, self.vote
@@ -185,13 +189,13 @@
         return ready
 
     def saved_up_to(self, index: int) -> None:
-        """Learn from the driver that all entries up to it are synced."""
+        """Record that all entries up to ``index`` are synced to disk."""
         self.saved = min(index, self.last_index)
         if self.role is _roles.Role.LEADER:
             self._advance_commit()
 
     def compact(self, index: int, state: bytes) -> messages.InstallSnapshot:
-        """Drop the entries up to ``index`` in favour of a snapshot."""
+        """Replace the entries up to ``index`` by a snapshot."""
         return self.log.compact(index, self.term, self.ident, state)
 
     # Elections
@@ -222,12 +226,11 @@
     def _on_vote_request(
         self, request: messages.VoteRequest, now: float
     ) -> None:
-        # While a leader is heard no vote is given and no term taken over.
-        # A replica that was cut off can so neither unseat a working leader
-        # nor break the lease that the leader relies on. The leader of this
-        # term itself no longer leads if it asks, and no other one was heard
-        # in this term: after a loss of all power there is a leader again as
-        # soon as a majority runs, 0.6 s sooner than by waiting for silence.
+        # During an election timeout after contact with a leader, grant no
+        # vote and adopt no term, so that a partitioned replica can't depose
+        # a working leader or break its lease. A request from the leader of
+        # this term shows that it no longer leads: grant it right away, so
+        # that a cluster recovers quickly after all replicas restart.
         leader_active = now < self.leader_contact_at + self.timing.election_s
         leader_active = leader_active and request.candidate != self.term_leader
         if leader_active or self.lease_holds(now) or request.term < self.term:
@@ -290,11 +293,11 @@
             for peer in self._peers()
         }
         self.heartbeat_sent_at = {}
-        # The lease starts with nothing; the quorum check gets one round.
+        # There is no lease yet, but the quorum check allows one round.
         for progress in self.progress.values():
             progress.acked_at = now - self.timing.lease_s
-        # Entries of former terms count as committed only through one of
-        # this term (Raft, section 5.4.2).
+        # Entries of earlier terms are committed only together with an entry
+        # of the current term (Raft, section 5.4.2).
         self.term_leader = self.ident
         self._append(messages.KIND_NOOP, self.ident.encode())
         self._broadcast(now)
@@ -317,9 +320,10 @@
         self.election_at = now + min_timeout * (1 + self.rng.random())
 
     def _resumes_leadership(self, now: float) -> bool:
-        """Whether this replica has just restarted, and led this term.
+        """Whether this replica restarted recently and led its last term.
 
-        It owes silence to nobody, and asks until the others are back.
+        No other leader can hold a lease in that term, so it may start an
+        election without waiting for the election timeout.
         """
         recently_started = now - self.started_at < 2 * self.timing.election_s
         return recently_started and self.term_leader == self.ident
@@ -385,8 +389,8 @@
                 self.heartbeat_number,
             ),
         )
-        # Optimistic: the next append goes on from here. A reply that says
-        # otherwise, or a lost message seen at the next beat, sets it back.
+        # Advance optimistically. A rejection, or a loss detected at the next
+        # heartbeat, moves it back.
         progress.next += len(entries)
 
     def _on_append(self, request: messages.AppendRequest, now: float) -> None:
@@ -468,7 +472,7 @@
             reply.beat == self.heartbeat_number
             and progress.match + 1 < progress.next
         ):
-            # An append before the newest beat was lost: send it again.
+            # An append before the latest heartbeat was lost: resend it.
             progress.next = progress.match + 1
 
     def _advance_commit(self) -> None:
@@ -489,7 +493,7 @@
         return progress.match if progress else 0
 
     def _quorum_acked_at(self) -> float:
-        """Return when the newest beat a majority has answered left."""
+        """Return the send time of the latest heartbeat acked by a quorum."""
         voters = self.config.voters
         times = sorted(
             (
--- a/src/bulrushhold/decisions/_roles.py
+++ b/src/bulrushhold/decisions/_roles.py
@@ -1,4 +1,4 @@
-"""What a replica keeps, and what it wants its driver to do."""
+"""Data types of a Raft replica and its interface to the driver."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a replica does in its term."""
+    """Raft role of a replica."""
 
     FOLLOWER = 'follower'
     PRE_CANDIDATE = 'pre-candidate'
@@ -18,12 +18,12 @@
 
 @attrs.frozen
 class Timing:
-    """Seconds between beats, and of the least silence before a vote.
+    """Heartbeat interval and minimum election timeout, in seconds.
 
-    A lease lasts ``lease_s`` from before its beat left. A follower
-    gives no vote for ``election_s`` after a beat arrived, which is
-    later, so no other leader can exist while the lease lasts; the
-    difference allows for clocks that run at different speeds.
+    The lease lasts ``lease_s`` from the sending of a heartbeat. A follower
+    grants no vote for ``election_s`` after receiving it, so no other leader
+    can exist during the lease. The difference between the two allows for
+    clock drift.
     """
 
     heartbeat_s: float = 0.15
@@ -31,13 +31,16 @@
 
     @property
     def lease_s(self) -> float:
-        """Seconds for which a beat, once acknowledged, gives the lease."""
+        """Length of the lease from an acknowledged heartbeat, in seconds."""
         return self.election_s * 0.8
 
 
 @attrs.define
 class Durable:
-    """What a replica has on its disk."""
+    """Persisted state of a replica.
+
+    :param founding: initial configuration, used until there is a snapshot.
+    """
 
     term: int = 0
     vote: str = ''
@@ -48,10 +51,10 @@
 
 @attrs.define
 class Ready:
-    """What the driver must do: save, then send, then apply.
+    """Work for the driver: save, then send, then apply.
 
     :param snapshot: received from the leader; replaces log and state.
-    :param outbox: replica identity and message.
+    :param outbox: pairs of recipient identity and message.
     """
 
     term: int = 0
@@ -65,7 +68,12 @@
 
 @attrs.define
 class Progress:
-    """What the leader knows of one other replica."""
+    """Replication progress of a peer as tracked by the leader.
+
+    :param match: highest index known to be replicated.
+    :param next: index of the next entry to send.
+    :param acked_at: send time of the latest acknowledged heartbeat.
+    """
 
     match: int = 0
     next: int = 1
--- a/src/bulrushhold/decisions/_routing.py
+++ b/src/bulrushhold/decisions/_routing.py
@@ -1,4 +1,4 @@
-"""Which backend server gets a request, and why."""
+"""Routing of requests to backend servers."""
 
 import collections.abc as cabc
 import itertools
@@ -30,14 +30,20 @@
 
 @attrs.define
 class BackendState:
-    """What this entry knows of one backend server.
+    """This entry's view of one backend server.
 
-    :param running: its last report of requests running, all entries'.
+    :param own_requests: requests of this entry that run there.
+    :param running: running requests of all entries, by its last load report.
     :param reported_at: monotonic seconds of that report.
-    :param own_at_report: this entry's own part of it.
-    :param failures: failures in a row.
-    :param closed_until: monotonic seconds until it gets no request.
-    :param left_until: the same, after it asked for no new work.
+    :param own_at_report: requests of this entry at the time of the report.
+    :param failures: consecutive failures.
+    :param backoff_until: monotonic seconds until which it gets no requests
+        after a failure.
+    :param listed: whether the platform's list contains it.
+    :param draining_until: monotonic seconds until which it gets no requests
+        after it announced its shutdown.
+    :param suspects: running requests that may be poison requests.
+    :param gaps: estimate of its inter-token latency.
     """
 
     server: ports.BackendServer
@@ -53,13 +59,13 @@
     gaps: _recovery.GapEstimate = attrs.field(factory=_recovery.GapEstimate)
 
     def load(self, now: float, mean_other_load: float = 0.0) -> float:
-        """Return the requests thought to run there.
+        """Return the estimated number of running requests.
 
-        The own part is exact. The others' part comes from a report, and
-        fades with its age towards the mean of all: were an old report
-        trusted, all entries would run to the engine that was idle then.
+        This entry's requests are counted exactly. Those of other entries
+        come from the last report and decay towards the mean with its age;
+        otherwise all entries would send to an engine that was idle once.
 
-        :param mean_others: others' requests per engine, by all reports.
+        :param mean_other_load: mean of other entries' requests per engine.
         """
         others = max(0, self.running - self.own_at_report)
         age = max(0.0, now - self.reported_at)
@@ -71,7 +77,7 @@
         )
 
     def available(self, now: float) -> bool:
-        """Whether it may get new requests."""
+        """Whether the server may get new requests."""
         return (
             self.listed
             and not self.server.leaving
@@ -80,26 +86,26 @@
         )
 
     def report(self, running: int, now: float) -> None:
-        """Take in a load report."""
+        """Record a load report."""
         self.running = running
         self.reported_at = now
         self.own_at_report = self.own
 
     def failed(self, now: float) -> None:
-        """Leave the server alone, longer after each failure in a row."""
+        """Record a failure and back off exponentially."""
         self.failures += 1
         backoff = INITIAL_BACKOFF_S * 2 ** (self.failures - 1)
         self.closed_until = now + min(MAX_BACKOFF_S, backoff)
 
     def succeeded(self) -> None:
-        """Forget the failures."""
+        """Record a success and reset the backoff."""
         self.failures = 0
         self.closed_until = 0.0
 
 
 @attrs.frozen
 class Choice:
-    """One routing decision, with what the log line needs."""
+    """A routing decision with its candidates and reason for the log."""
 
     state: BackendState | None
     candidates: list[str]
@@ -107,14 +113,14 @@
 
     @property
     def chosen(self) -> str:
-        """Name of the chosen server, or ``''``."""
+        """Name of the chosen server, or ``''`` if there is none."""
         return self.state.server.name if self.state else ''
 
 
 class Router:
-    """Chooses backend servers from the platform's list and own signs.
+    """Chooses backend servers by availability, load and prefix affinity.
 
-    :param rng: draws the engines that are compared.
+    :param rng: random source for sampling engines.
     """
 
     def __init__(self, rng: random.Random | None = None) -> None:
@@ -128,7 +134,7 @@
         self.means_valid_until = 0.0
 
     def update(self, servers: list[ports.BackendServer]) -> None:
-        """Take in the platform's list."""
+        """Update the servers from the platform's list."""
         self.rankings = {}
         listed = {server.name: server for server in servers}
         for name, state in list(self.states.items()):
@@ -145,10 +151,10 @@
             state.listed = True
 
     def mark_leaving(self, name: str, now: float) -> None:
-        """Give a server nothing new, ahead of the platform's list.
+        """Stop routing to a server before the platform's list shows it.
 
-        Only for as long as the list may lag: a server that was restarted
-        under its old name would else never get work again.
+        Limited to the discovery lag, so that a server restarted under the
+        same name gets requests again.
         """
         state = self.states.get(name)
         if state is not None:
@@ -166,12 +172,13 @@
     ) -> Choice:
         """Choose an engine for a generation.
 
-        :param affinity: prompt prefix whose cache is worth keeping.
-        :param version: the only version that may continue the answer.
-        :param avoid: engines that this request has lost already.
-        :param suspect: the request may have killed an engine; it then
-            gets one without another suspect, so that a second death
-            names it alone.
+        :param affinity: prompt prefix for prefix-cache affinity.
+        :param version: model version required to continue an answer, or
+            ``''`` for any.
+        :param avoid: engines that already failed this request.
+        :param suspect: whether this may be a poison request. It is then
+            preferably kept apart from other suspects, so that another crash
+            identifies it.
         """
 
         def eligible(state: BackendState) -> bool:
@@ -206,7 +213,7 @@
         now: float,
         avoid: cabc.Collection[str] = (),
     ) -> Choice:
-        """Choose a server of a plain service by its load."""
+        """Choose the least loaded server of a plain service."""
         eligible = self._available_servers(service, now)
         if not eligible:
             return Choice(None, [], 'no server of that service')
@@ -217,7 +224,7 @@
         return Choice(best, [s.server.name for s in preferred], 'least load')
 
     def has_kind(self, kind: str) -> bool:
-        """Whether the platform lists any server of that kind."""
+        """Whether any server of that kind is known."""
         return any(s.server.kind == kind for s in self.states.values())
 
     def _available_servers(self, kind: str, now: float) -> list[BackendState]:
@@ -230,12 +237,12 @@
     def _rank_engines(
         self, model: str, affinity: str
     ) -> tuple[list[BackendState], int]:
-        """Return the engines as a prompt prefers them, and how many it needs.
+        """Return the engines ranked for a prompt, and how many to consider.
 
-        Ranked once for each bucket of prompts and list of engines: ranking
-        600 engines for each request would take a node's whole budget. A
-        prompt needs engines by its share of the requests: kept to a few,
-        one that half of all requests begin with would queue there.
+        The ranking is cached per prompt bucket, because ranking all engines
+        for each request is expensive. The number to consider grows with the
+        bucket's share of requests, so that a common prefix doesn't overload
+        a few engines.
         """
         bucket = xxhash.xxh3_64_intdigest(affinity.encode()) % PROMPT_BUCKETS
         key = f'{model}\0{bucket}'
@@ -250,7 +257,7 @@
         return ranking, MIN_CANDIDATES + math.ceil(share * len(ranking))
 
     def _count_and_share(self, key: str) -> float:
-        """Count a request, and return its bucket's share of late."""
+        """Count a request and return its bucket's recent share."""
         self.bucket_counts[key] = self.bucket_counts.get(key, 0.0) + 1.0
         self.count_total += 1.0
         if self.count_total > MAX_COUNT_TOTAL:
@@ -258,7 +265,7 @@
                 k: n / 2 for k, n in self.bucket_counts.items() if n > 1
             }
             self.count_total = sum(self.bucket_counts.values())
-        # A bucket met for the first time says nothing about its share.
+        # Exclude this request, so that a new bucket has no share.
         previous = self.bucket_counts.get(key, 1.0) - 1.0
         return max(0.0, previous) / max(self.count_total, MIN_COUNT_TOTAL)
 
@@ -269,19 +276,18 @@
         allowed: cabc.Callable[[BackendState], bool],
         now: float,
     ) -> Choice | None:
-        """Take the better of two of the engines that the prompt prefers.
+        """Choose the less loaded of two random engines for the prompt.
 
-        Two drawn at random (Mitzenmacher, 2001), since every entry sees
-        the same late reports and would else choose the same engine. Where
-        both are loaded well above the mean, the cache isn't worth the wait
-        and two of all engines are drawn.
+        Power of two choices (Mitzenmacher, 2001): entries that share stale
+        load reports would otherwise all choose the same engine. If both
+        engines exceed the affinity load limit, two of all engines are drawn.
         """
         self._refresh_means(now)
         drawn = self._draw_pair(ranking[:candidate_count], allowed)
         reason = 'prefix'
         if not drawn or self._least_loaded(drawn, now)[
             1
-        ] > self._affinity_load_limit(drawn[0]):
+        ] > self._affinity_limit(drawn[0]):
             drawn = self._draw_pair(ranking, allowed) or drawn
             reason = 'load'
         if not drawn:
@@ -294,7 +300,7 @@
         ranking: list[BackendState],
         allowed: cabc.Callable[[BackendState], bool],
     ) -> list[BackendState]:
-        """Draw two engines that are allowed, mostly without a full scan."""
+        """Draw up to two allowed engines, usually without a full scan."""
         sampled = self.rng.sample(ranking, min(SAMPLE_SIZE, len(ranking)))
         drawn = list(itertools.islice(filter(allowed, sampled), 2))
         if drawn or len(ranking) <= SAMPLE_SIZE:
@@ -309,8 +315,8 @@
         load, state = min(loads, key=lambda pair: pair[0])
         return state, load
 
-    def _affinity_load_limit(self, state: BackendState) -> float:
-        """Return the load up to which a prefix keeps its engine."""
+    def _affinity_limit(self, state: BackendState) -> float:
+        """Return the load up to which prefix affinity is kept."""
         ceiling = min(
             MAX_LOAD_FACTOR * self.mean_load,
             FULL_SLOTS_FRACTION * state.server.slots,
@@ -318,7 +324,7 @@
         return max(MIN_LOAD_FACTOR * self.mean_load, ceiling, 1.0)
 
     def _refresh_means(self, now: float) -> None:
-        """Take the mean loads of open engines, once in a while."""
+        """Recompute the mean loads of available engines when outdated."""
         if now < self.means_valid_until:
             return
         eligible = self._available_servers('engine', now)
--- a/src/bulrushhold/decisions/_statemachine.py
+++ b/src/bulrushhold/decisions/_statemachine.py
@@ -1,4 +1,4 @@
-"""The replicated state: table, claims and quarantine, from commands."""
+"""Replicated state machine: table, claims, quarantine and route map."""
 
 import typing as t
 
@@ -14,10 +14,12 @@
 
 @attrs.define
 class ReplicatedState:
-    """What every replica holds after the same commands.
+    """State built by applying the committed commands in order.
 
-    :param quarantined: request fingerprint to why it is refused.
-    :param suspects: request fingerprint to the deaths it was present at.
+    :param quarantined: request fingerprint to the reason for quarantine.
+    :param suspects: fingerprint of a possible poison request to the number
+        of engine crashes that it was running in.
+    :param refusals_revision: incremented when either of the two changes.
     """
 
     table: _table.TableState = attrs.field(factory=_table.TableState)
@@ -28,10 +30,10 @@
     route_map: messages.RouteMapPut | None = None
 
     def apply(self, command: bytes) -> bytes:
-        """Apply one committed command; return its encoded result.
+        """Apply one committed command and return its encoded result.
 
-        A command that can't be read changes nothing. Raising instead
-        would stop every replica at the same entry, again and again.
+        An unknown command changes nothing. Raising instead would stop every
+        replica at the same log entry after each restart.
         """
         message = messages.decode(command)
         if isinstance(message, messages.TableEdit):
@@ -55,15 +57,14 @@
 
     @property
     def map_version(self) -> int:
-        """Version of the route map in force; 0 where there is none."""
+        """Version of the current route map; 0 if there is none."""
         return self.route_map.version if self.route_map else 0
 
     def _put_route_map(
         self, command: messages.RouteMapPut
     ) -> messages.RouteMapOutcome:
-        # An equal version keeps what is held: an operator that resends after
-        # a lost answer, or races another one, must not change what some
-        # entries already obey under that number.
+        # Ignore an equal version: a resent or concurrent upload must not
+        # change the map that entries already use under that version.
         if command.version > self.map_version:
             self.route_map = command
         return messages.RouteMapOutcome(self.map_version)
@@ -77,10 +78,10 @@
         self.refusals_revision += 1
 
     def _record_suspects(self, command: messages.Suspected) -> None:
-        """Remember the contents, so that every entry treats them alike.
+        """Count an engine crash for each possible poison request.
 
-        A caller whose request killed one engine may send it again through
-        another entry; without this, that entry would count from nothing.
+        The count is replicated, so that a request resent through another
+        entry doesn't start from zero there.
         """
         for fingerprint in command.fingerprints:
             crashes = self.suspects.pop(fingerprint, 0)
@@ -90,18 +91,18 @@
         self.refusals_revision += 1
 
     def refusals(self) -> messages.Refusals:
-        """Return what entries need of quarantine and suspects."""
+        """Return the fingerprints that entries must refuse or isolate."""
         return messages.Refusals(
             sorted(self.quarantined), sorted(self.suspects)
         )
 
     def dump(self) -> bytes:
-        """Return the whole state, for a snapshot."""
+        """Return the encoded state for a snapshot."""
         return msgspec.msgpack.encode(self)
 
     @classmethod
     def restore(cls, data: bytes) -> 'ReplicatedState':
-        """Return the state that :meth:`dump` wrote; empty from ``b''``."""
+        """Decode the output of :meth:`dump`; ``b''`` gives an empty state."""
         if not data:
             return cls()
         return msgspec.msgpack.decode(data, type=cls)
--- a/src/bulrushhold/decisions/_suspects.py
+++ b/src/bulrushhold/decisions/_suspects.py
@@ -1,4 +1,4 @@
-"""Which request kills the engines it runs on."""
+"""Detection of poison requests: requests that crash engines."""
 
 import collections.abc as cabc
 import typing as t
@@ -11,33 +11,33 @@
 
 
 def content_fingerprint(content: bytes) -> str:
-    """Return the fingerprint of a request's content, without its key."""
+    """Return a hash of a request's content, independent of its key."""
     return xxhash.xxh3_128_hexdigest(content)
 
 
 @attrs.define
 class Suspects:
-    """Deaths of engines by the content of the requests on them.
+    """Counts engine crashes per request content.
 
-    All requests on an engine that dies become suspects; most are
-    innocent. Each goes on alone among the suspects of its engine, so
-    that a second death names one. A death shared by several suspects
-    names nobody: their count stays, and they are parted again.
+    Every request that runs on a crashing engine becomes a suspect. Suspects
+    are retried on separate engines, so that another crash identifies the
+    poison request. A crash with several suspects identifies none of them and
+    isn't counted.
     """
 
     crashes: dict[str, int] = attrs.field(factory=dict)
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Whether an engine has died under this content."""
+        """Whether an engine crashed while running this content."""
         return fingerprint in self.crashes
 
     def learn(self, fingerprints: cabc.Iterable[str]) -> None:
-        """Take over suspects that other entries have found."""
+        """Add suspects reported by other entries."""
         for fingerprint in fingerprints:
             self.crashes.setdefault(fingerprint, 1)
 
     def engine_died(self, fingerprints: list[str]) -> list[str]:
-        """Count a death; return the contents to be quarantined.
+        """Record a crash and return the fingerprints to quarantine.
 
         :param fingerprints: of all requests that ran on the engine.
         """
@@ -55,5 +55,5 @@
         return quarantined
 
     def clear(self, fingerprint: str) -> None:
-        """Forget a content that was served whole."""
+        """Remove a fingerprint after its request completed."""
         self.crashes.pop(fingerprint, None)
--- a/src/bulrushhold/decisions/_table.py
+++ b/src/bulrushhold/decisions/_table.py
@@ -1,4 +1,4 @@
-"""The operators' table: rows, revisions, edits and their history."""
+"""The operators' table of limits: rows, revisions and edit history."""
 
 import typing as t
 
@@ -17,7 +17,7 @@
 
 @attrs.define
 class Version:
-    """A row as of a revision; ``row`` is ``None`` where it was removed."""
+    """A row as of a revision; ``row`` is ``None`` if it was removed."""
 
     revision: int
     row: messages.Row | None
@@ -25,13 +25,13 @@
 
 @attrs.define
 class TableState:
-    """The table with the versions that three-way edits need.
+    """Table with the row versions that three-way merges need.
 
-    :param versions: per row key its versions, oldest first.
-    :param changed: revision and the keys it changed, oldest first; a poll
-        of an entry that is up to date so costs nothing.
+    :param versions: versions of each row by key, oldest first.
+    :param changed: revisions with the keys they changed, oldest first; makes
+        the poll of an up-to-date entry cheap.
     :param outcomes: edit id to its first outcome, oldest first.
-    :param floor: the oldest revision an edit may be based on.
+    :param floor: oldest revision that an edit may be based on.
     """
 
     revision: int = 0
@@ -42,7 +42,7 @@
     history: list[messages.HistoryItem] = attrs.field(factory=list)
 
     def rows(self, revision: int | None = None) -> list[messages.Row]:
-        """Return the rows in force, or as of a revision, by key."""
+        """Return the rows sorted by key, current or as of a revision."""
         if revision is None:
             revision = self.revision
         found = (self._row_at(key, revision) for key in self.versions)
@@ -52,13 +52,13 @@
         )
 
     def knows(self, revision: int) -> bool:
-        """Whether an edit can be based on a revision."""
+        """Whether an edit may be based on a revision."""
         return self.floor <= revision <= self.revision
 
     def changes_since(
         self, known: int
     ) -> tuple[list[messages.Row], list[str]]:
-        """Return the rows set and the keys removed after ``known``."""
+        """Return the rows set and keys removed after revision ``known``."""
         keys: dict[str, None] = {}
         for revision, changed in reversed(self.changed):
             if revision <= known:
@@ -77,7 +77,7 @@
         return rows, removed
 
     def apply(self, edit: messages.TableEdit) -> messages.EditOutcome:
-        """Take or refuse an edit; a resent one gets its first outcome."""
+        """Apply or reject an edit; a resent edit gets its first outcome."""
         first = self.outcomes.get(edit.edit_id)
         if first is not None:
             return first
@@ -118,10 +118,10 @@
     def _merge(
         self, key: str, requested: messages.Row | None, base: int
     ) -> tuple[messages.Row | None, list[messages.Conflict]]:
-        """Merge one row: what the operator changed since ``base`` counts.
+        """Merge one row with the changes made since revision ``base``.
 
-        Without the row as of ``base``, a cell that the operator never
-        touched would look like a change and turn another's edit back.
+        Comparing with the row as of ``base`` keeps cells that the operator
+        didn't edit from reverting other operators' changes.
         """
         before = self._row_at(key, base)
         current = self._row_at(key, self.revision)
@@ -171,7 +171,7 @@
             self._drop_versions(self.history.pop(0).revision)
 
     def _drop_versions(self, revision: int) -> None:
-        """Drop versions that no edit can be based on any more."""
+        """Drop the row versions that only older base revisions need."""
         self.floor = revision
         for versions in self.versions.values():
             while len(versions) > 1 and versions[1].revision <= revision:
@@ -187,7 +187,7 @@
 def difference(
     before: list[messages.Row], after: list[messages.Row]
 ) -> tuple[list[messages.Row], list[str]]:
-    """Return the rows to set and the keys to remove between two tables."""
+    """Return the rows to set and keys to remove to turn one into another."""
     known = {row.key: row for row in before}
     rows = [row for row in after if known.get(row.key) != row]
     removed = known.keys() - {row.key for row in after}
--- a/src/bulrushhold/decisions/_tablecsv.py
+++ b/src/bulrushhold/decisions/_tablecsv.py
@@ -1,7 +1,7 @@
-"""The table as a CSV file, for any spreadsheet.
+"""CSV format of the table for spreadsheets.
 
-Every row carries the table's revision as of the pull, so that a push
-tells what the operator changed and what others have changed since.
+Every row carries the revision at which the table was pulled. A push is
+merged against that revision.
 """
 
 import csv
@@ -33,13 +33,12 @@
 
 
 def read(text: str) -> tuple[list[messages.Row], int]:
-    """Return the rows of a CSV text and the revision it was pulled at.
+    """Parse CSV text into rows and the revision it was pulled at.
 
-    Spreadsheets may save with ``;`` or tabs between cells and with a
-    byte order mark; both are taken.
+    Accepts commas, semicolons or tabs as delimiters, and a byte order mark.
 
-    :raises ExceptionGroup: of :class:`~bulrushhold.errors.CellError`, one
-        for each bad cell; nothing of the file may then be used.
+    :raises ExceptionGroup: of one :class:`~bulrushhold.errors.CellError` for
+        each invalid cell.
     """
     lines = text.removeprefix('\ufeff').splitlines()
     if not lines:
@@ -80,7 +79,7 @@
         if name and name not in expected
     ]
     if len(set(header)) < len(header):
-        problems.append(_cell_error(1, '', 'a column stands twice'))
+        problems.append(_cell_error(1, '', 'duplicate column'))
     if problems:
         raise _error_group(problems)
 
@@ -92,7 +91,9 @@
     keys: set[str] = set()
     for row in rows:
         if row.key in keys:
-            problems.append(errors.CellError('stands twice', f'row {row.key}'))
+            problems.append(
+                errors.CellError('duplicate row', f'row {row.key}')
+            )
         keys.add(row.key)
     if len(revisions) > 1:
         problems.append(
@@ -141,7 +142,7 @@
 
 def _parse_account(text: str) -> str:
     if '/' in text:
-        raise ValueError('an account may hold no /')
+        raise ValueError('an account must not contain /')
     return _parse_name(text)
 
 
@@ -208,4 +209,4 @@
 def _error_group(
     problems: list[errors.CellError],
 ) -> 'ExceptionGroup[errors.CellError]':
-    return ExceptionGroup('the table has wrong cells', problems)
+    return ExceptionGroup('the table has invalid cells', problems)
--- a/src/bulrushhold/decisions/_takeover.py
+++ b/src/bulrushhold/decisions/_takeover.py
@@ -1,11 +1,10 @@
-"""Whether an entry may go on with a key, and from which copy.
+"""Takeover of a key by another entry, and the choice of the copy to resume.
 
-A text is what one entry began from nothing and others may have continued.
-A key can have had two texts: an entry that finds no copy of the first one
-begins a second. A caller that holds tokens of the second must never get the
-rest of the first. So the entry that begins a text says so at a majority of
-the key's pointer homes before it asks an engine (``since``), and whoever
-continues asks a majority and takes no copy written before that.
+A key can have more than one text, since an entry that finds no copy starts
+the answer over. A caller with tokens of one text must never get the rest of
+another. An entry that starts a text therefore records its epoch (``since``)
+at a majority of the key's pointer homes before using an engine, and an entry
+that takes over reads a majority and ignores copies written before ``since``.
 """
 
 import collections.abc as cabc
@@ -17,13 +16,14 @@
 
 @attrs.frozen
 class Standing:
-    """What a majority of pointer homes says about a key.
+    """Combined answers of a key's pointer homes.
 
-    :param majority: enough homes answered.
-    :param sure: enough of them would know the key, had it been used.
-    :param epoch: the highest in force.
-    :param since: the epoch that began the newest text.
+    :param majority: whether a majority of the homes answered.
+    :param sure: whether a majority would know the key if it had been used.
+    :param epoch: highest epoch in force.
+    :param since: epoch in which the latest text was started.
     :param former: addresses that may hold a copy.
+    :param mismatch: whether the key was used for another request.
     """
 
     majority: bool
@@ -37,7 +37,7 @@
 def standing(
     states: cabc.Collection[messages.PointerState], home_count: int
 ) -> Standing:
-    """Sum up the answers of ``homes`` pointer homes."""
+    """Combine the answers of ``home_count`` pointer homes."""
     quorum = home_count // 2 + 1
     newest = max((state.since for state in states), default=0)
     former = {
@@ -59,7 +59,7 @@
 def best_copy(
     copies: cabc.Iterable[messages.CopyState], since: int
 ) -> messages.CopyState | None:
-    """Return the copy to go on from: the last writer's, the longest."""
+    """Return the copy to resume: of the latest writer, the longest."""
     candidates = [
         copy
         for copy in copies
--- a/src/bulrushhold/decisions/_transcript.py
+++ b/src/bulrushhold/decisions/_transcript.py
@@ -1,4 +1,4 @@
-"""The tokens of one answer, from whichever attempt may extend it."""
+"""Transcript of one answer, extended by one of several attempts."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """What becomes of one token or end mark."""
+    """Result of offering a token or end mark to a transcript."""
 
     ACCEPTED = 'accepted'
     REPEATED = 'repeated'
@@ -17,15 +17,16 @@
 
 @attrs.define
 class Transcript:
-    """One answer as far as it exists, and who may extend it.
+    """Tokens of one answer and the attempts that may extend it.
 
-    Every contender was given exactly the tokens that were here when it
-    started. The first one to deliver the next token is the only one
-    heard from then on, so that two generations never mix: another
-    contender's next token could belong to another text.
+    Each attempt starts from the tokens present at that time. The attempt
+    that delivers the next token first becomes the only active one, so that
+    the texts of different attempts never mix.
 
-    :param request: request id that every engine reply must name.
-    :param version: of the model that wrote it, once there is a token.
+    :param request: request id that every engine reply must carry.
+    :param version: version of the model that produced the tokens.
+    :param finish: finish reason, or ``''`` while the answer is incomplete.
+    :param active_attempts: model version by attempt number.
     """
 
     request: str
@@ -36,21 +37,21 @@
     last_attempt: int = 0
 
     def start_attempt(self, version: str) -> int:
-        """Return the number of a new attempt, now a contender."""
+        """Register a new active attempt and return its number."""
         self.last_attempt += 1
         self.contenders[self.last_attempt] = version
         return self.last_attempt
 
     def end_attempt(self, attempt: int) -> None:
-        """Hear an attempt no more, whatever it still sends."""
+        """Ignore an attempt from now on."""
         self.contenders.pop(attempt, None)
 
     def accept(
         self, request: str, attempt: int, offset: int, text: str, finish: str
     ) -> Verdict:
-        """Take one token or end mark, if it comes next and may come.
+        """Append a token or end mark if it is the expected next one.
 
-        :param finish: ``''`` for a token, else why the answer ended.
+        :param finish: ``''`` for a token, otherwise the finish reason.
         """
         verdict = self._classify(request, attempt, offset)
         if verdict is not Verdict.ACCEPTED:
