--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,7 +10,7 @@
 from tests import conftest
 
 
-class Group:
+class EntryGroup:
     """Entries that probe each other in rounds of one period."""
 
     def __init__(self, count, seed=1):
@@ -19,8 +19,8 @@
             for n in range(count)
         ]
         self.now = 0.0
-        self.cut = set()
-        self.down = set()
+        self.blocked_links = set()
+        self.stopped = set()
         self.messages = dict.fromkeys((e.name for e in self.instances), 0)
         self.bytes = 0
         self.members = {}
@@ -32,23 +32,23 @@
         member.update_list(self.instances)
         self.members[name] = member
 
-    def reaches(self, one, other):
+    def can_reach(self, one, other):
         return (
-            one not in self.down
-            and other not in self.down
-            and (one, other) not in self.cut
+            one not in self.stopped
+            and other not in self.stopped
+            and (one, other) not in self.blocked_links
         )
 
-    def ask(self, one, other):
+    def probe(self, one, other):
         """A probe and its answer; false where either is lost."""
-        told = self.members[one].tell()
-        self.count(one, messages.Probe(told))
-        if not self.reaches(one, other):
+        updates = self.members[one].tell()
+        self.count(one, messages.Probe(updates))
+        if not self.can_reach(one, other):
             return False
-        self.members[other].hear(told, self.now)
+        self.members[other].hear(updates, self.now)
         answer = self.members[other].tell()
         self.count(other, messages.ProbeReply(True, answer))
-        if not self.reaches(other, one):
+        if not self.can_reach(other, one):
             return False
         self.members[one].hear(answer, self.now)
         return True
@@ -57,110 +57,110 @@
         self.messages[name] += 1
         self.bytes += len(messages.encode(message))
 
-    def period(self):
+    def run_period(self):
         self.now += 1.0
         for name, member in self.members.items():
-            if name in self.down:
+            if name in self.stopped:
                 continue
             target = member.next_target()
-            if self.ask(name, target.name):
+            if self.probe(name, target.name):
                 member.answered(target.name, self.now)
             elif not any(
-                self.ask(name, helper.name)
-                and self.ask(helper.name, target.name)
+                self.probe(name, helper.name)
+                and self.probe(helper.name, target.name)
                 for helper in member.helpers(target.name)
             ):
                 member.silent(target.name, self.now)
             member.tick(self.now)
 
-    def who_use(self, name):
+    def usable_by(self, name):
         return {
             n
             for n, member in self.members.items()
-            if n not in self.down and n != name and member.usable(name)
+            if n not in self.stopped and n != name and member.usable(name)
         }
 
 
-def group_without(name):
+def group_with_dead_entry(name):
     """Return a group that has found one of its entries dead."""
-    group = Group(10)
+    group = EntryGroup(10)
     for _ in range(8):
-        group.period()
-    group.down.add(name)
+        group.run_period()
+    group.stopped.add(name)
     for _ in range(8):
-        group.period()
+        group.run_period()
     return group
 
 
-def test_a_dead_entry_is_given_to_nobody_within_seconds():
-    group = Group(10)
-    group.period()
-    group.down.add('e3')
+def test_dead_entry_becomes_unusable_everywhere():
+    group = EntryGroup(10)
+    group.run_period()
+    group.stopped.add('e3')
     for _ in range(8):
-        group.period()
-    assert not group.who_use('e3')
+        group.run_period()
+    assert not group.usable_by('e3')
     for other in group.members:
         if other != 'e3':
-            assert len(group.who_use(other)) == 8
+            assert len(group.usable_by(other)) == 8
 
 
-def test_a_restart_under_the_same_address_is_taken_in_again():
-    group = group_without('e3')
-    group.down.clear()
+def test_restarted_entry_rejoins_at_the_same_address():
+    group = group_with_dead_entry('e3')
+    group.stopped.clear()
     group.start('e3', 2, random.Random(5))
     for _ in range(8):
-        group.period()
-    assert len(group.who_use('e3')) == 9
+        group.run_period()
+    assert len(group.usable_by('e3')) == 9
 
 
 @pytest.mark.parametrize('both_ways', [False, True])
-def test_a_cut_between_two_entries_makes_nobody_dead(both_ways):
+def test_link_failure_between_two_entries_marks_neither_dead(both_ways):
     # Two entries can't hear each other, but others reach both.
-    group = Group(10)
-    group.cut.add(('e1', 'e2'))
+    group = EntryGroup(10)
+    group.blocked_links.add(('e1', 'e2'))
     if both_ways:
-        group.cut.add(('e2', 'e1'))
+        group.blocked_links.add(('e2', 'e1'))
     for _ in range(30):
-        group.period()
-    assert len(group.who_use('e1')) == 9
-    assert len(group.who_use('e2')) == 9
+        group.run_period()
+    assert len(group.usable_by('e1')) == 9
+    assert len(group.usable_by('e2')) == 9
 
 
-def test_a_frozen_entry_refutes_its_death_on_waking():
-    group = group_without('e3')
-    group.down.clear()
+def test_suspended_entry_refutes_its_death():
+    group = group_with_dead_entry('e3')
+    group.stopped.clear()
     for _ in range(12):
-        group.period()
-    assert len(group.who_use('e3')) == 9
+        group.run_period()
+    assert len(group.usable_by('e3')) == 9
     assert group.members['e3'].incarnation > 1
 
 
-def test_both_sides_of_a_healed_cut_find_each_other_again():
-    group = Group(10)
+def test_membership_recovers_from_a_partition():
+    group = EntryGroup(10)
     names = list(group.members)
     for one in names[:5]:
         for other in names[5:]:
-            group.cut |= {(one, other), (other, one)}
+            group.blocked_links |= {(one, other), (other, one)}
     for _ in range(15):
-        group.period()
+        group.run_period()
     assert not group.members['e0'].usable('e9')
-    group.cut.clear()
+    group.blocked_links.clear()
     for _ in range(25):
-        group.period()
-    assert all(len(group.who_use(name)) == 9 for name in names)
+        group.run_period()
+    assert all(len(group.usable_by(name)) == 9 for name in names)
 
 
-def test_the_load_of_an_entry_does_not_grow_with_their_number():
+def test_message_load_does_not_grow_with_group_size():
     loads = {}
     for count in (10, 100):
-        group = Group(count)
+        group = EntryGroup(count)
         for _ in range(10):
-            group.period()
+            group.run_period()
         loads[count] = max(group.messages.values()) / 10
     assert loads[100] <= 2 * loads[10] + 4
 
 
-async def test_a_draining_entry_is_unlisted_by_the_others_at_once(
+async def test_draining_entry_is_unlisted_at_once(
     make_system,
 ):
     system = await make_system(entries=3)
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -41,7 +41,7 @@
     return next(row for row in table.rows() if row.account == account)
 
 
-def test_a_resent_edit_gets_its_first_outcome(table):
+def test_resent_edit_gets_its_first_outcome(table):
     rows = change(table, 'vendors', weight=2.0)
     first = table.apply(edit('e', 1, rows))
     table.apply(edit('f', 2, change(table, 'vendors', weight=3.0)))
@@ -49,11 +49,11 @@
     assert row_of(table, 'vendors').weight == 3.0
 
 
-def test_of_a_race_on_one_number_one_wins_and_the_other_sees_both(table):
-    mine = change(table, 'vendors', weight=2.0)
-    theirs = change(table, 'vendors', weight=3.0)
-    assert table.apply(edit('theirs', 1, theirs)).accepted
-    outcome = table.apply(edit('mine', 1, mine))
+def test_concurrent_edits_of_one_cell_conflict(table):
+    own_rows = change(table, 'vendors', weight=2.0)
+    other_rows = change(table, 'vendors', weight=3.0)
+    assert table.apply(edit('theirs', 1, other_rows)).accepted
+    outcome = table.apply(edit('mine', 1, own_rows))
     assert not outcome.accepted
     assert outcome.conflicts == [
         messages.Conflict('vendors/chat', 'weight', '3.0', '2.0')
@@ -61,27 +61,27 @@
     assert row_of(table, 'vendors').weight == 3.0
 
 
-def test_edits_of_different_cells_are_both_taken(table):
-    mine = change(table, 'vendors', weight=2.0)
-    theirs = change(table, 'vendors', concurrency=9)
-    others = change(table, 'planners', weight=5.0)
-    for number, rows in enumerate((mine, theirs, others)):
+def test_edits_of_different_cells_are_merged(table):
+    own_rows = change(table, 'vendors', weight=2.0)
+    other_rows = change(table, 'vendors', concurrency=9)
+    third_rows = change(table, 'planners', weight=5.0)
+    for number, rows in enumerate((own_rows, other_rows, third_rows)):
         assert table.apply(edit(f'e{number}', 1, rows)).accepted
     row = row_of(table, 'vendors')
     assert (row.weight, row.concurrency) == (2.0, 9)
     assert row_of(table, 'planners').weight == 5.0
 
 
-def test_a_stale_pull_does_not_turn_anothers_edit_back(table):
+def test_stale_pull_does_not_revert_other_edits(table):
     # The operator pulled before another's edit and pushes a change of a
     # different row; the cells that it didn't touch stay as they are now.
-    stale = change(table, 'planners', weight=5.0)
+    stale_rows = change(table, 'planners', weight=5.0)
     table.apply(edit('theirs', 1, change(table, 'vendors', weight=3.0)))
-    assert table.apply(edit('mine', 1, stale)).accepted
+    assert table.apply(edit('mine', 1, stale_rows)).accepted
     assert row_of(table, 'vendors').weight == 3.0
 
 
-def test_removing_a_line_removes_the_row_but_not_a_newer_one(table):
+def test_removal_keeps_rows_added_since_the_pull(table):
     pulled = table.rows()
     added = [*pulled, conftest.row('bakers')]
     assert table.apply(edit('add', 1, added)).accepted
@@ -90,25 +90,25 @@
     assert accounts == ['bakers', pulled[0].account]
 
 
-def test_removing_a_row_that_another_changed_is_a_conflict(table):
+def test_removing_a_changed_row_conflicts(table):
     pulled = table.rows()
     table.apply(edit('theirs', 1, change(table, 'vendors', weight=3.0)))
     outcome = table.apply(edit('mine', 1, pulled[:1]))
     assert [c.row for c in outcome.conflicts] == ['vendors/chat']
 
 
-def test_an_edit_based_on_the_future_is_refused(table):
+def test_edit_with_a_future_base_is_rejected(table):
     assert not table.apply(edit('e', 9, table.rows())).accepted
 
 
-def test_changes_since_tell_rows_set_and_removed(table):
+def test_changes_since_lists_set_and_removed_rows(table):
     table.apply(edit('e', 1, [attrs.evolve(table.rows()[0], weight=7.0)]))
     rows, removed = table.changes_since(1)
     assert [row.weight for row in rows] == [7.0]
     assert removed == ['vendors/chat']
 
 
-def test_a_snapshot_holds_everything(table):
+def test_snapshot_round_trip(table):
     plain = decisions.TableState(
         table.revision,
         table.floor,
@@ -122,7 +122,7 @@
     assert restored == state
 
 
-def test_csv_goes_out_and_in_unchanged(table):
+def test_csv_round_trip(table):
     text = decisions.write_csv(table.rows(), table.revision)
     assert decisions.read_csv(text) == (table.rows(), 1)
     # As a spreadsheet may save it.
@@ -135,7 +135,7 @@
     'idempotent,revision\n'
 )
 
-BAD_CELLS = [
+INVALID_CELLS = [
     ('vendors,chat,0,0,0,9,0,yes,1\n', 'row 2, column weight'),
     ('vendors,chat,x,0,0,9,0,yes,1\n', "needs a number: 'x'"),
     ('vendors,chat,nan,0,0,9,0,yes,1\n', 'column weight'),
@@ -149,14 +149,14 @@
 ]
 
 
-@pytest.mark.parametrize(('lines', 'reason'), BAD_CELLS)
-def test_a_bad_cell_is_named(lines, reason):
+@pytest.mark.parametrize(('lines', 'reason'), INVALID_CELLS)
+def test_invalid_cell_is_reported(lines, reason):
     with pytest.raises(ExceptionGroup) as caught:
         decisions.read_csv(HEADER + lines)
     assert reason in ' '.join(map(str, caught.value.exceptions))
 
 
-def test_every_bad_cell_is_named_at_once():
+def test_all_invalid_cells_are_reported():
     with pytest.raises(ExceptionGroup) as caught:
         decisions.read_csv(HEADER + ',chat,x,0,0,9,0,yes,1\n')
     assert len(caught.value.exceptions) == 2
@@ -170,13 +170,13 @@
         (HEADER.replace('weight', 'weight,size'), 'unknown column'),
     ],
 )
-def test_a_bad_header_is_named(text, reason):
+def test_invalid_header_is_reported(text, reason):
     with pytest.raises(ExceptionGroup) as caught:
         decisions.read_csv(text)
     assert reason in ' '.join(map(str, caught.value.exceptions))
 
 
-async def test_a_bad_push_changes_nothing(system):
+async def test_invalid_push_changes_nothing(system):
     status, _, answer = await system.post(
         '/v1/table?edit=e1',
         HEADER + 'vendors,chat,0,0,0,9,0,yes,1\n',
@@ -190,14 +190,14 @@
 
 
 @pytest.mark.parametrize('key', ['', 'Bearer wrong', 'Bearer '])
-async def test_only_the_operator_key_may_push(system, key):
+async def test_push_requires_the_operator_key(system, key):
     status, _, answer = await system.post(
         '/v1/table?edit=e1', HEADER, Authorization=key
     )
     assert (status, answer['error']['ran']) == (403, 'no')
 
 
-async def test_an_entry_never_goes_back_to_an_older_table(system):
+async def test_entry_ignores_an_older_table(system):
     # A replica that lags answers an entry that has already seen more.
     table = system.entries['e1'].table
     old = messages.TableReply('done', revision=0, whole=True)
@@ -206,7 +206,7 @@
     assert table.rows
 
 
-async def test_an_entry_cut_off_from_control_refuses_new_work(make_system):
+async def test_entry_without_control_refuses_requests(make_system):
     # Control is gone for longer than the table's lease. A caller hears
     # ran: no and other entries, instead of limits long taken back.
     system = await make_system(options={'table_lease_s': 0.1})
@@ -222,7 +222,7 @@
     assert answer['error']['step'] == 'admission'
 
 
-async def test_serving_on_with_a_stale_table_is_a_setting(make_system):
+async def test_stale_table_may_be_served_by_setting(make_system):
     system = await make_system(
         options={'table_lease_s': 0.01, 'when_table_stale': 'serve'}
     )
