--- a/tests/test_control_servers.py
+++ b/tests/test_control_servers.py
@@ -17,18 +17,18 @@
 
 @pytest.fixture
 def servers():
-    made = decisions.ControlServers('a', ['seed'], random.Random(1))
-    assert made.choose('', 0.0) == 'seed'
-    made.learn(messages.WatchReply('done', nodes=NODES))
-    return made
+    control_servers = decisions.ControlServers('a', ['seed'], random.Random(1))
+    assert control_servers.choose('', 0.0) == 'seed'
+    control_servers.learn(messages.WatchReply('done', nodes=NODES))
+    return control_servers
 
 
-def test_entries_go_to_a_process_of_their_data_centre(servers):
+def test_local_process_is_preferred(servers):
     assert servers.choose('seed', 0.0) == 'relay-a'
     assert servers.choose('relay-a', 0.0) == 'relay-a'
 
 
-def test_a_silent_process_is_left_for_the_next_best(servers):
+def test_unresponsive_process_is_replaced_by_the_next_best(servers):
     servers.failed('relay-a', 0.0)
     assert servers.choose('', 0.1) == 'replica-a'
     servers.failed('replica-a', 0.1)
@@ -36,25 +36,25 @@
     assert servers.choose('', 0.2) == 'replica-b'
 
 
-def test_a_process_that_is_back_gets_its_entries_back(servers):
+def test_recovered_process_is_preferred_again(servers):
     servers.failed('relay-a', 0.0)
     assert servers.choose('replica-a', 0.1) == 'replica-a'
     assert servers.choose('replica-a', 3.0) == 'relay-a'
 
 
-def test_where_all_are_silent_some_process_is_asked(servers):
+def test_process_is_chosen_when_all_have_failed(servers):
     for address in ('seed', *(node.address for node in NODES)):
         servers.failed(address, 0.0)
     assert servers.choose('', 0.1) == 'seed'
 
 
-def test_a_process_that_left_the_list_is_not_asked_again(servers):
+def test_unlisted_process_is_not_chosen(servers):
     """Guards against a try at a frozen process every few seconds."""
     servers.learn(messages.WatchReply('done', nodes=NODES[1:]))
     assert servers.choose('', 0.0) == 'replica-a'
 
 
-def test_the_fastest_link_of_the_data_centre_is_preferred(servers):
+def test_fastest_local_link_is_preferred(servers):
     """Guards against a small instance's link that is full of news."""
     fast = messages.ControlNode('replica-a', 'a', True, 100.0)
     slow = messages.ControlNode('relay-a', 'a', False, 5.0)
--- a/tests/test_takeover_orders.py
+++ b/tests/test_takeover_orders.py
@@ -21,12 +21,12 @@
 STEPS = 400
 
 
-class Mixed(AssertionError):
+class MixedTexts(AssertionError):
     """The caller holds tokens that no one text begins with."""
 
 
 @attrs.define
-class Serving:
+class ServedKey:
     """An entry's side of the key."""
 
     epoch: int
@@ -36,24 +36,24 @@
     fenced: bool = False
 
 
-class World:
-    def __init__(self, seed, take_any_copy=False, restarts=0.5):
+class Simulation:
+    def __init__(self, seed, ignore_since=False, restart_weight=0.5):
         self.rng = random.Random(seed)
-        self.take_any_copy = take_any_copy
-        self.restarts = restarts
-        self.shows = 4
-        self.reach = 0.7
+        self.ignore_since = ignore_since
+        self.restart_weight = restart_weight
+        self.delivery_weight = 4
+        self.answer_probability = 0.7
         self.now = 1000.0
         self.stores = {n: decisions.CopyStore(60.0, 0.0) for n in NAMES}
         self.serving = {}
         self.engines = []
-        self.under_way = []
-        self.texts = 0
-        self.epochs = 0
-        self.at = None
+        self.in_flight = []
+        self.text_count = 0
+        self.epoch_count = 0
+        self.caller_entry = None
         self.received = []
         self.refusals = 0
-        self.moves = 0
+        self.reconnects = 0
 
     def peers(self, name):
         start = NAMES.index(name) + 1
@@ -62,54 +62,64 @@
     def reachable(self, name):
         """Draw the entries that answer this time; the own one does."""
         return [
-            n for n in NAMES if n == name or self.rng.random() < self.reach
+            n
+            for n in NAMES
+            if n == name or self.rng.random() < self.answer_probability
         ]
 
     # Steps
 
-    def move(self):
+    def reconnect(self):
         """The caller turns to an entry, with what it has."""
         name = self.rng.choice(NAMES)
-        self.at = None
-        own = self.serving.get(name)
-        if own is None or own.fenced or not self.still_serves(name, own):
-            own = self.take_over(name)
-        if own is None or len(self.received) > len(own.transcript.tokens):
+        self.caller_entry = None
+        served = self.serving.get(name)
+        if (
+            served is None
+            or served.fenced
+            or not self.still_owns(name, served)
+        ):
+            served = self.take_over(name)
+        if served is None or len(self.received) > len(
+            served.transcript.tokens
+        ):
             self.refusals += 1
             return
-        self.moves += 1
-        self.at = name
+        self.reconnects += 1
+        self.caller_entry = name
 
-    def still_serves(self, name, own):
-        found = self.take_pointers(name, own.epoch)
-        return found.majority and found.epoch == own.epoch
+    def still_owns(self, name, served):
+        pointers = self.take_pointers(name, served.epoch)
+        return pointers.majority and pointers.epoch == served.epoch
 
     def take_over(self, name):
-        self.epochs += 1
-        epoch = self.epochs
-        have = len(self.received)
-        found = self.take_pointers(name, epoch)
-        if not found.majority or found.epoch > epoch:
+        self.epoch_count += 1
+        epoch = self.epoch_count
+        received_count = len(self.received)
+        pointers = self.take_pointers(name, epoch)
+        if not pointers.majority or pointers.epoch > epoch:
             return None
         take = messages.CopyTake(KEY, epoch)
         answering = self.reachable(name)
         copies = [
             self.stores[n].take(take, self.now)
-            for n in found.former
+            for n in pointers.former
             if n in answering
         ]
-        since = 0 if self.take_any_copy else found.since
+        since = 0 if self.ignore_since else pointers.since
         copy = decisions.best_copy(copies, since)
-        if have and (
-            copy is None or have > len(copy.tokens) or not found.sure
+        if received_count and (
+            copy is None
+            or received_count > len(copy.tokens)
+            or not pointers.sure
         ):
             return None
         transcript = decisions.Transcript(KEY)
         if copy is not None and copy.tokens:
             transcript.tokens = list(copy.tokens)
-        elif not self.begin(name, epoch):
+        elif not self.start_text(name, epoch):
             return None
-        self.serving[name] = Serving(epoch, transcript, {}, set())
+        self.serving[name] = ServedKey(epoch, transcript, {}, set())
         return self.serving[name]
 
     def take_pointers(self, name, epoch, begins=False):
@@ -121,93 +131,99 @@
         ]
         return decisions.standing(states, len(HOMES))
 
-    def begin(self, name, epoch):
-        found = self.take_pointers(name, epoch, begins=True)
-        return found.majority and found.epoch == epoch
+    def start_text(self, name, epoch):
+        pointers = self.take_pointers(name, epoch, begins=True)
+        return pointers.majority and pointers.epoch == epoch
 
     def dispatch(self):
         """Some serving entry starts an attempt on an engine."""
-        own = self.some_serving()
-        if own is None:
+        served = self.random_served()
+        if served is None:
             return
-        tokens = own.transcript.tokens
+        tokens = served.transcript.tokens
         if tokens:
             text = tokens[0].partition(':')[0]
         else:
-            self.texts += 1
-            text = f't{self.texts}'
-        number = own.transcript.start_attempt('v1')
-        self.engines.append([own, number, text, len(tokens)])
+            self.text_count += 1
+            text = f't{self.text_count}'
+        number = served.transcript.start_attempt('v1')
+        self.engines.append([served, number, text, len(tokens)])
 
-    def emit(self):
+    def generate_token(self):
         """Some engine sends a token, now and then one it sent before."""
         if not self.engines:
             return
         engine = self.rng.choice(self.engines)
-        own, number, text, offset = engine
+        served, number, text, offset = engine
         if self.rng.random() < 0.1:
             offset = max(0, offset - self.rng.randrange(3))
-        own.transcript.accept(KEY, number, offset, f'{text}:{offset}', '')
+        served.transcript.accept(KEY, number, offset, f'{text}:{offset}', '')
         engine[3] = max(engine[3], offset + 1)
 
-    def lose_attempt(self):
-        own = self.some_serving()
-        if own is not None and own.transcript.contenders:
-            own.transcript.end_attempt(
-                self.rng.choice(list(own.transcript.contenders))
+    def end_random_attempt(self):
+        served = self.random_served()
+        if served is not None and served.transcript.contenders:
+            served.transcript.end_attempt(
+                self.rng.choice(list(served.transcript.contenders))
             )
 
     def send(self):
         """Some entry sends what a peer lacks; it may arrive late or never."""
         name = self.rng.choice(NAMES)
-        own = self.serving.get(name)
-        if own is None or own.fenced:
+        served = self.serving.get(name)
+        if served is None or served.fenced:
             return
         peer = self.rng.choice(self.peers(name))
-        offset = own.acked.get(peer, 0)
-        tokens = list(own.transcript.tokens[offset:])
-        append = messages.CopyAppend(KEY, own.epoch, offset, tokens, 'v1')
-        self.under_way.append((own, peer, append))
+        offset = served.acked.get(peer, 0)
+        tokens = list(served.transcript.tokens[offset:])
+        append = messages.CopyAppend(KEY, served.epoch, offset, tokens, 'v1')
+        self.in_flight.append((served, peer, append))
 
     def deliver(self):
-        if not self.under_way:
+        if not self.in_flight:
             return
-        number = self.rng.randrange(len(self.under_way))
-        own, peer, append = self.under_way.pop(number)
+        number = self.rng.randrange(len(self.in_flight))
+        served, peer, append = self.in_flight.pop(number)
         if self.rng.random() < 0.15:
             return
         ok, length = self.stores[peer].append(append, self.now)
         if not ok:
-            own.fenced = True
+            served.fenced = True
         elif self.rng.random() < 0.9:
-            own.acked[peer] = length
+            served.acked[peer] = length
 
-    def lose_peer(self):
+    def toggle_lost_peer(self):
         """An entry gives a peer up: it shows without its copies."""
-        own = self.some_serving()
-        if own is not None:
-            own.lost_peers ^= {self.rng.choice(NAMES)}
+        served = self.random_served()
+        if served is not None:
+            served.lost_peers ^= {self.rng.choice(NAMES)}
 
-    def show(self):
+    def deliver_to_caller(self):
         """The caller gets what all live peers of its entry hold."""
-        own = self.serving.get(self.at)
-        if own is None or own.fenced:
+        served = self.serving.get(self.caller_entry)
+        if served is None or served.fenced:
             return
-        live = [p for p in self.peers(self.at) if p not in own.lost_peers]
-        held = [own.acked.get(peer, 0) for peer in live]
-        visible = min([len(own.transcript.tokens), *held])
-        self.received += own.transcript.tokens[len(self.received) : visible]
+        live = [
+            p
+            for p in self.peers(self.caller_entry)
+            if p not in served.lost_peers
+        ]
+        acked_lengths = [served.acked.get(peer, 0) for peer in live]
+        visible = min([len(served.transcript.tokens), *acked_lengths])
+        self.received += served.transcript.tokens[len(self.received) : visible]
 
     def restart(self):
         """An entry dies, and comes back with nothing."""
         name = self.rng.choice(NAMES)
         self.stores[name] = decisions.CopyStore(60.0, self.now)
         self.serving.pop(name, None)
-        if self.at == name:
-            self.at = None
+        if self.caller_entry == name:
+            self.caller_entry = None
 
-    def some_serving(self):
-        live = [own for own in self.serving.values() if not own.fenced]
+    def random_served(self):
+        live = [
+            served for served in self.serving.values() if not served.fenced
+        ]
         return self.rng.choice(live) if live else None
 
     def check(self):
@@ -216,19 +232,19 @@
         text = self.received[0].partition(':')[0]
         wanted = [f'{text}:{n}' for n in range(len(self.received))]
         if self.received != wanted:
-            raise Mixed(str(self.received))
+            raise MixedTexts(str(self.received))
 
     def run(self):
         steps = [
-            (self.emit, 40),
+            (self.generate_token, 40),
             (self.send, 20),
             (self.deliver, 20),
-            (self.show, self.shows),
+            (self.deliver_to_caller, self.delivery_weight),
             (self.dispatch, 10),
-            (self.lose_attempt, 2),
-            (self.move, 4),
-            (self.lose_peer, 6),
-            (self.restart, self.restarts),
+            (self.end_random_attempt, 2),
+            (self.reconnect, 4),
+            (self.toggle_lost_peer, 6),
+            (self.restart, self.restart_weight),
         ]
         weights = [weight for _, weight in steps]
         for _ in range(STEPS):
@@ -238,26 +254,26 @@
             self.check()
 
 
-def test_a_caller_never_holds_two_texts_in_any_order_of_losses():
-    moves = refusals = received = 0
+def test_caller_never_receives_two_texts():
+    reconnects = refusals = received = 0
     for seed in range(SEEDS):
-        world = World(seed, restarts=(0.5, 2.0)[seed % 2])
+        simulation = Simulation(seed, restart_weight=(0.5, 2.0)[seed % 2])
         try:
-            world.run()
-        except Mixed as mixed:
-            pytest.fail(f'seed {seed}: {mixed}')
-        moves += world.moves
-        refusals += world.refusals
-        received += len(world.received)
+            simulation.run()
+        except MixedTexts as error:
+            pytest.fail(f'seed {seed}: {error}')
+        reconnects += simulation.reconnects
+        refusals += simulation.refusals
+        received += len(simulation.received)
     # The search means nothing where callers never move or never receive.
-    assert moves > SEEDS
+    assert reconnects > SEEDS
     assert received > SEEDS
-    assert refusals < moves
+    assert refusals < reconnects
 
 
-def test_the_search_finds_a_copy_taken_from_a_former_text():
+def test_search_detects_a_copy_of_an_earlier_text():
     # Known bug, seeded: without ``since``, a copy of a first text, missed
     # at one takeover and found at the next, continues the second text.
-    with pytest.raises(Mixed):
+    with pytest.raises(MixedTexts):
         for seed in range(SEEDS * 5):
-            World(seed, take_any_copy=True).run()
+            Simulation(seed, ignore_since=True).run()
