--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -22,7 +22,7 @@
     )
 
 
-def test_leases_and_floors_never_pass_the_table(rng):
+def test_leases_and_floors_never_exceed_the_limits(rng):
     # Entries ask in any order, freeze through their lease, and wake. At no
     # time may the leases in use and all floors exceed the row's limits.
     home = decisions.QuotaHome(-100.0)
@@ -44,7 +44,7 @@
         assert sum(slots) <= LIMITED.concurrency
 
 
-def test_a_new_home_waits_until_its_predecessors_leases_are_over():
+def test_new_home_waits_for_earlier_leases_to_expire():
     # The home is lost; the next one knows no lease. It grants nothing for
     # one lease time, while the old ones may still be in use.
     home = decisions.QuotaHome(10.0)
@@ -52,12 +52,12 @@
     assert home.grant(ask('e1'), LIMITED, 10.0 + LEASE_S).slots > 0
 
 
-def test_a_row_first_used_later_waits_for_nothing():
+def test_row_first_used_later_is_granted_at_once():
     home = decisions.QuotaHome(10.0)
     assert home.grant(ask('e1'), LIMITED, 100.0).slots == 10
 
 
-def test_a_frozen_holder_has_nothing_beyond_its_floor_on_waking():
+def test_suspended_holder_keeps_only_its_floor():
     share = decisions.QuotaShare(LIMITED, len(ENTRIES))
     share.take_grant(messages.QuotaGrant(90.0, 10, LEASE_S), 50.0)
     assert share.allows(51.0)
@@ -65,7 +65,7 @@
     assert not share.allows(50.0 + LEASE_S)
 
 
-def test_demand_moves_the_lease():
+def test_leases_follow_demand():
     home = decisions.QuotaHome(-100.0)
     for now in (0.0, 1.0, 2.0, 3.0):
         first = home.grant(ask('e1', 9.0), LIMITED, now)
@@ -75,7 +75,7 @@
     assert first.slots + second.slots <= 10
 
 
-def test_a_holder_that_runs_more_than_its_part_starts_nothing_new():
+def test_holder_above_its_share_starts_nothing_new():
     # Another entry has come, and half of the slots is its. What runs beyond
     # that ends by itself; the freed slots aren't filled again, and until
     # then the other gets only what is really free.
@@ -88,39 +88,42 @@
     assert home.grant(ask('e2'), LIMITED, 2.1).slots == 3
 
 
-def test_what_is_not_needed_stays_free_for_others():
+def test_unneeded_slots_stay_available():
     home = decisions.QuotaHome(-100.0)
     assert home.grant(ask('e1', 1.0, need=2), LIMITED, 0.0).slots == 2
     assert home.grant(ask('e2', 1.0, need=9), LIMITED, 0.0).slots == 5
 
 
-async def read_on(caller, prompt):
+async def read_forever(caller, prompt):
     while True:
         await read(caller, 8, prompt)
 
 
-async def test_places_at_entries_follow_the_weights_in_use_there(
+async def test_entry_slots_follow_account_weights(
     make_system,
 ):
     # Two accounts of weights 1 and 3 each load another entry far beyond the
     # engines. Each entry gets places in proportion, not an equal part.
     system = await make_system(entries=2, gap_s=0.05, slots=16)
-    light, heavy = conftest.row('light'), conftest.row('heavy', weight=3.0)
-    await system.edit([*conftest.FIRST_ROWS, light, heavy], 1)
+    light_row, heavy_row = (
+        conftest.row('light'),
+        conftest.row('heavy', weight=3.0),
+    )
+    await system.edit([*conftest.FIRST_ROWS, light_row, heavy_row], 1)
     callers = []
     for name, account in (('e1', 'light'), ('e2', 'heavy')):
         caller = system.client(account)
         caller.entries = [str(system.addresses[name][0])]
         caller.keep_until = float('inf')
         callers += [
-            asyncio.ensure_future(read_on(caller, f'{account} {n}'))
+            asyncio.ensure_future(read_forever(caller, f'{account} {n}'))
             for n in range(40)
         ]
     queues = [system.entries[n].admission.queue for n in ('e1', 'e2')]
 
     def in_proportion():
-        one, other = (queue.capacity for queue in queues)
-        return 2.2 < other / one < 3.8
+        light_capacity, heavy_capacity = (queue.capacity for queue in queues)
+        return 2.2 < heavy_capacity / light_capacity < 3.8
 
     await conftest.until(in_proportion)
     for caller in callers:
@@ -128,7 +131,7 @@
     await asyncio.gather(*callers, return_exceptions=True)
 
 
-def test_a_debt_is_paid_before_the_next_request():
+def test_token_debt_blocks_the_next_request():
     share = decisions.QuotaShare(conftest.row(token_rate=10.0), 1)
     share.take_grant(messages.QuotaGrant(9.0, 0, LEASE_S), 0.0)
     assert share.allows(0.5)
@@ -158,16 +161,16 @@
     return served
 
 
-def test_under_overload_shares_follow_the_weights(rng):
+def test_overload_shares_follow_weights(rng):
     weights = {'a': 1.0, 'b': 2.0, 'c': 5.0}
     served = run_queue(weights, 2000.0, 20, rng)
     total = sum(served.values())
     for name, weight in weights.items():
-        wanted = weight / sum(weights.values())
-        assert served[name] / total == pytest.approx(wanted, rel=0.05)
+        expected = weight / sum(weights.values())
+        assert served[name] / total == pytest.approx(expected, rel=0.05)
 
 
-def test_a_burst_of_one_row_does_not_delay_anothers_request():
+def test_burst_does_not_delay_other_rows():
     queue = decisions.FairQueue(1)
     for number in range(100):
         queue.push('large', 1.0, 100.0, number)
@@ -177,7 +180,7 @@
     assert queue.pop(lambda _: True) == 'small'
 
 
-def test_an_idle_row_saves_up_nothing():
+def test_idle_row_accumulates_no_credit():
     queue = decisions.FairQueue(1)
     for number in range(50):
         queue.push('busy', 1.0, 10.0, number)
@@ -201,24 +204,24 @@
     ]
 
 
-async def limited_system(make_system, **cells):
+async def make_limited_system(make_system, **cells):
     system = await make_system(entries=3)
     rows = [*conftest.FIRST_ROWS[1:], conftest.row(**cells)]
     await system.edit(rows, 1)
     return system
 
 
-async def test_concurrency_holds_over_all_entries(make_system):
+async def test_concurrency_limit_holds_across_entries(make_system):
     # Callers send far more than the row allows, through all entries. The
     # engines never see more than the limit at once, and all are answered.
-    system = await limited_system(make_system, concurrency=3)
-    most = 0
+    system = await make_limited_system(make_system, concurrency=3)
+    max_running = 0
 
     async def watch():
-        nonlocal most
+        nonlocal max_running
         while True:
             running = sum(len(e.running) for e in system.engines.values())
-            most = max(most, running)
+            max_running = max(max_running, running)
             await asyncio.sleep(0.001)
 
     watcher = asyncio.ensure_future(watch())
@@ -231,17 +234,19 @@
         return_exceptions=True,
     )
     watcher.cancel()
-    whole = [a for a in answers if isinstance(a, list)]
+    complete = [a for a in answers if isinstance(a, list)]
     refused = [a for a in answers if not isinstance(a, list)]
     assert all(r.status == 429 and r.retry_after for r in refused)
-    assert whole
-    assert 1 <= most <= 3
+    assert complete
+    assert 1 <= max_running <= 3
 
 
-async def test_what_cannot_meet_its_deadline_is_refused_at_once(make_system):
+async def test_request_that_cannot_meet_its_deadline_is_refused(make_system):
     # The row's tokens are spent for longer than its deadline. The caller
     # hears so at once, with when to come back, and isn't kept waiting.
-    system = await limited_system(make_system, token_rate=20, deadline_s=0.5)
+    system = await make_limited_system(
+        make_system, token_rate=20, deadline_s=0.5
+    )
     caller = system.client()
     await read(caller, 200)
     with pytest.raises(errors.RequestError) as caught:
@@ -251,12 +256,12 @@
     assert caught.value.retry_after > 1
 
 
-async def test_look_ups_need_no_place_in_the_queue(make_system):
+async def test_plain_calls_bypass_the_queue(make_system):
     system = await make_system(gap_s=0.05)
     entry = system.entries['e1']
     entry.admission.engine_slots = 1
     entry.admission.places.row = entry.admission._places_row()
-    drafts = [
+    generations = [
         asyncio.ensure_future(read(system.client(), 40, f'draft {n}'))
         for n in range(5)
     ]
@@ -264,9 +269,9 @@
     answer = await system.client().call('booking', 'availability')
     assert answer.status == 200
     assert entry.admission.queue.waiting >= 3
-    for draft in drafts:
-        draft.cancel()
-    await asyncio.gather(*drafts, return_exceptions=True)
+    for generation in generations:
+        generation.cancel()
+    await asyncio.gather(*generations, return_exceptions=True)
 
 
 def servers(count):
@@ -278,7 +283,7 @@
     ]
 
 
-def test_a_stale_report_does_not_draw_a_herd():
+def test_stale_report_does_not_attract_all_requests():
     # One engine reported to be idle some seconds ago, the others busy.
     # Requests that follow aren't all sent there.
     router = decisions.Router(random.Random(7))
@@ -295,7 +300,7 @@
     assert max(loads) <= 15
 
 
-def test_a_rare_prefix_keeps_to_few_engines(rng):
+def test_rare_prefix_uses_few_engines(rng):
     # Among many others, one prompt's requests go to the engines that have
     # its beginning in their cache.
     router = decisions.Router(rng)
@@ -308,7 +313,7 @@
     assert len(chosen) <= 8
 
 
-def test_a_prefix_of_half_of_all_requests_spreads_with_its_share(rng):
+def test_common_prefix_is_spread(rng):
     # Kept to a few engines, it would queue there while others idle.
     router = decisions.Router(rng)
     router.update(servers(40))
@@ -318,7 +323,7 @@
     assert max(s.own for s in router.states.values()) <= 20
 
 
-def test_a_failing_server_is_left_and_tried_again_gently():
+def test_failing_server_is_retried_after_a_backoff():
     router = decisions.Router(random.Random(7))
     router.update(servers(2))
     state = router.states['m0']
@@ -340,7 +345,7 @@
         assert router.choose_engine('s', f'prompt {number}', 1.0).state
 
 
-async def test_a_place_granted_to_one_who_just_left_is_given_back(system):
+async def test_slot_of_a_cancelled_request_is_released(system):
     # A caller leaves in the very turn in which its place comes free. The
     # place must not stay taken for good: each such loss would make the
     # entry smaller.
