--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -19,13 +19,13 @@
 TIMING = decisions.Timing(heartbeat_s=0.1, election_s=0.5)
 
 
-class Net:
+class Network:
     """Replicas over an instant network, with the clock in hand."""
 
     def __init__(self, names, voters=3):
         self.now = 100.0
         self.voters = voters
-        self.cut = set()
+        self.isolated = set()
         founders = {f'{n}.founder': n for n in names}
         self.replicas = {}
         for name in names:
@@ -42,19 +42,19 @@
 
     def deliver(self):
         for _ in range(20):
-            quiet = True
+            idle = True
             for ident, replica in list(self.replicas.items()):
                 ready = replica.take_ready()
                 if ready.must_save:
                     replica.saved_up_to(replica.last_index)
-                    quiet = False
+                    idle = False
                 for peer, message in ready.outbox:
-                    quiet = False
-                    if ident in self.cut or peer in self.cut:
+                    idle = False
+                    if ident in self.isolated or peer in self.isolated:
                         continue
                     if peer in self.replicas:
                         self.replicas[peer].receive(message, self.now)
-            if quiet:
+            if idle:
                 return
 
     def run(self, seconds, step=0.05):
@@ -62,7 +62,7 @@
         while self.now < end:
             self.now += step
             for ident, replica in self.replicas.items():
-                if ident not in self.cut:
+                if ident not in self.isolated:
                     replica.tick(self.now)
                     replica.flush(self.now)
             self.deliver()
@@ -71,7 +71,7 @@
         return next(
             r
             for i, r in self.replicas.items()
-            if r.lease_holds(self.now) and i not in self.cut
+            if r.lease_holds(self.now) and i not in self.isolated
         )
 
     def repair(self, joiner='', seconds=4.0):
@@ -89,30 +89,28 @@
 
 
 @pytest.fixture
-def net():
-    made = Net(['a', 'b', 'c'])
-    made.run(2.0)
-    return made
+def network():
+    cluster = Network(['a', 'b', 'c'])
+    cluster.run(2.0)
+    return cluster
 
 
-def test_a_leader_that_was_suspended_has_no_lease_when_it_wakes(net):
+def test_suspended_leader_loses_its_lease(network):
     # A machine is suspended for five seconds; the others elect another
     # leader and take a new route map. On a clock that stands still meanwhile
     # the first one would believe its lease and show the old map.
-    sleeper = net.leader()
-    assert sleeper.lease_holds(net.now)
-    net.cut.add(sleeper.ident)
-    net.run(5.0)
-    assert net.leader() is not sleeper
-    assert not sleeper.lease_holds(net.now)
+    suspended = network.leader()
+    assert suspended.lease_holds(network.now)
+    network.isolated.add(suspended.ident)
+    network.run(5.0)
+    assert network.leader() is not suspended
+    assert not suspended.lease_holds(network.now)
 
 
-def test_control_runs_on_the_clock_that_counts_suspension(
-    tmp_path, monkeypatch
-):
+def test_control_uses_a_clock_that_includes_suspension(tmp_path, monkeypatch):
     # Seeded bug: with time.monotonic in its place the lease above holds on.
     clocks = []
-    real = control.ControlServer
+    original = control.ControlServer
 
     def record(*args, **options):
         clocks.append(args[6])
@@ -131,88 +129,90 @@
 
     asyncio.run(run())
     assert clocks == [node.boot_time]
-    assert real is not control.ControlServer
+    assert original is not control.ControlServer
 
 
-def test_a_voter_that_is_gone_for_good_is_replaced_by_a_newcomer(net):
+def test_lost_voter_is_replaced_by_a_new_instance(network):
     # A core machine is removed, and an empty one comes at another address.
     # Afterwards one more may be lost without harm.
-    gone = next(i for i in net.replicas if i != net.leader().ident)
-    net.cut.add(gone)
-    del net.replicas[gone]
-    net.start('d.new', messages.Config())
-    net.repair('d.new')
-    config = net.leader().config
+    lost = next(i for i in network.replicas if i != network.leader().ident)
+    network.isolated.add(lost)
+    del network.replicas[lost]
+    network.start('d.new', messages.Config())
+    network.repair('d.new')
+    config = network.leader().config
     assert len(config.voters) == 3
-    assert 'd.new' in config.voters and gone not in config.voters
+    assert 'd.new' in config.voters and lost not in config.voters
     second = next(
-        i for i in config.voters if i not in ('d.new', net.leader().ident)
+        i for i in config.voters if i not in ('d.new', network.leader().ident)
     )
-    net.cut.add(second)
-    index = net.leader().propose(b'x')[0]
-    net.run(1.0)
-    assert net.leader().commit >= index
+    network.isolated.add(second)
+    index = network.leader().propose(b'x')[0]
+    network.run(1.0)
+    assert network.leader().commit >= index
 
 
-def test_a_newcomer_waits_while_all_voters_are_there(net):
+def test_learner_is_not_promoted_while_all_voters_respond(network):
     # Four voters bear no more than three, and need one more for each step.
-    net.start('d.new', messages.Config())
-    net.repair('d.new', 2.0)
-    config = net.leader().config
+    network.start('d.new', messages.Config())
+    network.repair('d.new', 2.0)
+    config = network.leader().config
     assert len(config.voters) == 3
     assert 'd.new' in config.learners
 
 
-def test_a_learner_that_is_gone_gets_no_vote(net):
+def test_unresponsive_learner_is_not_promoted(network):
     # It was up to date, and the log is quiet: by its log alone it still is.
-    net.start('d.new', messages.Config())
-    net.repair('d.new', 1.0)
-    net.cut.add('d.new')
+    network.start('d.new', messages.Config())
+    network.repair('d.new', 1.0)
+    network.isolated.add('d.new')
     lost = next(
-        i for i in net.leader().config.voters if i != net.leader().ident
+        i
+        for i in network.leader().config.voters
+        if i != network.leader().ident
     )
-    net.run(2.0)
-    net.cut.add(lost)
-    net.repair(seconds=3.0)
-    assert 'd.new' not in net.leader().config.voters
-
-
-def test_a_replica_that_was_dropped_while_it_was_frozen_joins_again(net):
-    net.start('d.new', messages.Config())
-    net.repair('d.new', 1.0)
-    frozen = next(i for i in net.replicas if i != net.leader().ident)
-    net.cut.add(frozen)
-    net.repair(seconds=4.0)
-    assert frozen not in net.leader().config.voters
-    net.cut.clear()
-    net.run(1.0)
-    assert net.replicas[frozen].silent_for(net.now) > 2.0
-    net.repair(frozen, 2.0)
-    assert frozen in net.leader().config.learners
-
-
-def test_appends_hold_a_bounded_number_of_bytes(net):
+    network.run(2.0)
+    network.isolated.add(lost)
+    network.repair(seconds=3.0)
+    assert 'd.new' not in network.leader().config.voters
+
+
+def test_removed_replica_rejoins_after_suspension(network):
+    network.start('d.new', messages.Config())
+    network.repair('d.new', 1.0)
+    frozen = next(i for i in network.replicas if i != network.leader().ident)
+    network.isolated.add(frozen)
+    network.repair(seconds=4.0)
+    assert frozen not in network.leader().config.voters
+    network.isolated.clear()
+    network.run(1.0)
+    assert network.replicas[frozen].silent_for(network.now) > 2.0
+    network.repair(frozen, 2.0)
+    assert frozen in network.leader().config.learners
+
+
+def test_append_size_is_bounded(network):
     # A storm of large route maps while one replica is away: the whole
     # backlog in one message would block its link for seconds.
-    leader = net.leader()
-    behind = next(i for i in net.replicas if i != leader.ident)
-    net.cut.add(behind)
+    leader = network.leader()
+    lagging = next(i for i in network.replicas if i != leader.ident)
+    network.isolated.add(lagging)
     for _ in range(40):
         leader.propose(bytes(100_000))
-        net.run(0.05)
-    net.cut.clear()
+        network.run(0.05)
+    network.isolated.clear()
     largest = 0
     for _ in range(200):
-        net.now += 0.05
-        for replica in net.replicas.values():
-            replica.tick(net.now)
-            replica.flush(net.now)
+        network.now += 0.05
+        for replica in network.replicas.values():
+            replica.tick(network.now)
+            replica.flush(network.now)
             for _, message in replica._ready.outbox:
                 if isinstance(message, messages.AppendRequest):
                     size = sum(len(e.data) for e in message.entries)
                     largest = max(largest, size)
-        net.deliver()
-    assert net.replicas[behind].commit == net.leader().commit
+        network.deliver()
+    assert network.replicas[lagging].commit == network.leader().commit
     assert largest <= 1 << 20
 
 
@@ -256,7 +256,7 @@
     def handle(self, kind, handler):
         self.handlers[kind] = handler
 
-    def put(self, version):
+    def put_route_map(self, version):
         order = messages.RouteMapPut(version, b'map', b'source')
         self.state.apply(messages.encode(order))
         for hook in self.applied_hooks:
@@ -278,29 +278,29 @@
     return messages.Watch(entry, messages.Known(known_map), hold_s)
 
 
-async def test_a_held_call_is_answered_as_soon_as_there_is_news(fleet, server):
+async def test_long_poll_returns_on_a_change(fleet, server):
     call = asyncio.ensure_future(fleet.watch._on_watch(watch()))
     await asyncio.sleep(0.02)
     assert not call.done()
-    server.put(3)
+    server.put_route_map(3)
     reply = await asyncio.wait_for(call, 0.2)
     assert (reply.status, reply.route_map) == ('done', b'map')
 
 
-async def test_a_call_held_past_the_lease_says_nothing(fleet, server):
+async def test_long_poll_past_the_lease_returns_no_state(fleet, server):
     # The process is suspended while the call is held. Its state may be old
     # by the time the answer leaves.
     call = asyncio.ensure_future(fleet.watch._on_watch(watch(hold_s=0.1)))
     await asyncio.sleep(0.02)
     server.lease = False
-    server.put(3)
+    server.put_route_map(3)
     reply = await call
     assert reply.status == 'not_leader' and reply.route_map is None
     read = await fleet.leader._on_read(messages.RouteMapRead())
     assert read.status == 'not_leader' and not read.source
 
 
-async def test_losses_reach_other_entries_at_once(fleet, server):
+async def test_engine_loss_reaches_other_entries_at_once(fleet, server):
     call = asyncio.ensure_future(fleet.watch._on_watch(watch(name='e2')))
     await asyncio.sleep(0.02)
     await fleet.watch._on_load_report(messages.LoadReport('e1', {}, ['i7']))
@@ -308,7 +308,7 @@
     assert reply.loads.lost == ['i7']
 
 
-async def test_the_list_is_kept_while_it_cannot_be_read(fleet):
+async def test_backend_list_is_kept_while_the_source_fails(fleet):
     backend = messages.ListedBackend('i1', 's', '10.0.0.9:1', 'dc', 4)
     fleet.leader.source.listed = [backend]
     await fleet.leader._read_list()
@@ -318,7 +318,7 @@
     assert reply.backends == [backend]
 
 
-def test_entries_are_dropped_when_silent_and_a_new_leader_waits():
+def test_registry_expires_entries_and_a_new_leader_waits():
     registry = control.EntryRegistry()
     registry.lead(1, 0.0)
     entry = messages.ListedEntry('e1', 'dc', '10.0.1.1:80', True)
@@ -336,9 +336,7 @@
 # Disks
 
 
-async def test_a_disk_that_fails_does_not_end_the_process(
-    tmp_path, monkeypatch
-):
+async def test_disk_failure_does_not_end_the_process(tmp_path, monkeypatch):
     # The disk is full for a while. The replica begins anew from what is
     # there, once writes are taken again, and holds what it acknowledged.
     port = settings.Address('127.0.0.1', 45873)
@@ -367,28 +365,28 @@
 
     run = asyncio.ensure_future(composition.run_control(config, attach))
     command = messages.encode(messages.RouteMapPut(1, b'', b''))
-    await _acknowledged(servers, command)
-    real = node.FileLog.save
+    await _propose_until_done(servers, command)
+    original = node.FileLog.save
 
-    def full(self, *args):
+    def disk_full(self, *args):
         raise errors.StorageError('No space left on device', 'storage')
 
-    monkeypatch.setattr(node.FileLog, 'save', full)
+    monkeypatch.setattr(node.FileLog, 'save', disk_full)
     servers[-1].replica.propose(command)
     servers[-1].work.set()
     await asyncio.sleep(0.7)
     assert not run.done()
-    monkeypatch.setattr(node.FileLog, 'save', real)
+    monkeypatch.setattr(node.FileLog, 'save', original)
     await asyncio.sleep(0.7)
     later = messages.encode(messages.RouteMapPut(2, b'', b''))
-    await _acknowledged(servers, later)
+    await _propose_until_done(servers, later)
     assert len(servers) > 1
     assert servers[-1].state.map_version == 2
     run.cancel()
     await asyncio.gather(run, return_exceptions=True)
 
 
-async def _acknowledged(servers, command):
+async def _propose_until_done(servers, command):
     for _ in range(100):
         if servers:
             reply = await servers[-1].propose(command)
