--- a/tests/cores.py
+++ b/tests/cores.py
@@ -1,4 +1,4 @@
-"""Control processes in the test's own loop, over real sockets."""
+"""Cluster of control processes in the test's event loop."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 
 
 class Core:
-    """Control processes in the test's own loop, over real sockets."""
+    """Control processes in the test's event loop, over real sockets."""
 
     def __init__(self, folder):
         self.folder = folder
--- a/tests/test_control_servers.py
+++ b/tests/test_control_servers.py
@@ -1,4 +1,4 @@
-"""Which control process an entry asks, as they are lost."""
+"""Failover of entries between control processes."""
 
 import random
 
@@ -49,13 +49,13 @@
 
 
 def test_unlisted_process_is_not_chosen(servers):
-    """Guards against a try at a frozen process every few seconds."""
+    """Guards against polling a hung process every few seconds."""
     servers.learn(messages.WatchReply('done', nodes=NODES[1:]))
     assert servers.choose('', 0.0) == 'replica-a'
 
 
 def test_fastest_local_link_is_preferred(servers):
-    """Guards against a small instance's link that is full of news."""
+    """Guards against saturating the link of a small instance."""
     fast = messages.ControlNode('replica-a', 'a', True, 100.0)
     slow = messages.ControlNode('relay-a', 'a', False, 5.0)
     servers.learn(messages.WatchReply('done', nodes=[slow, fast]))
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Control's life: suspension, replacement, held calls, failing disks."""
+"""Control: suspension, member replacement, long polls and disk failures."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
 
 
 class Network:
-    """Replicas over an instant network, with the clock in hand."""
+    """Replicas on a simulated network without delay, with a manual clock."""
 
     def __init__(self, names, voters=3):
         self.now = 100.0
@@ -96,9 +96,8 @@
 
 
 def test_suspended_leader_loses_its_lease(network):
-    # A machine is suspended for five seconds; the others elect another
-    # leader and take a new route map. On a clock that stands still meanwhile
-    # the first one would believe its lease and show the old map.
+    # Guards against a resumed leader that serves an old route map. With a
+    # clock that stops during suspension, its lease would seem valid.
     suspended = network.leader()
     assert suspended.lease_holds(network.now)
     network.isolated.add(suspended.ident)
@@ -108,13 +107,14 @@
 
 
 def test_control_uses_a_clock_that_includes_suspension(tmp_path, monkeypatch):
-    # Seeded bug: with time.monotonic in its place the lease above holds on.
+    # time.monotonic doesn't advance during suspension, so a lease measured
+    # with it would outlive its real duration.
     clocks = []
     original = control.ControlServer
 
     def record(*args, **options):
         clocks.append(args[6])
-        raise errors.SettingsError('enough')
+        raise errors.SettingsError('stop after construction')
 
     monkeypatch.setattr(control, 'ControlServer', record)
     port = settings.Address('127.0.0.1', 45871)
@@ -133,8 +133,8 @@
 
 
 def test_lost_voter_is_replaced_by_a_new_instance(network):
-    # A core machine is removed, and an empty one comes at another address.
-    # Afterwards one more may be lost without harm.
+    # A voter is lost for good and an empty instance joins at another address.
+    # The cluster must then survive the loss of another voter.
     lost = next(i for i in network.replicas if i != network.leader().ident)
     network.isolated.add(lost)
     del network.replicas[lost]
@@ -153,7 +153,8 @@
 
 
 def test_learner_is_not_promoted_while_all_voters_respond(network):
-    # Four voters bear no more than three, and need one more for each step.
+    # Four voters tolerate no more failures than three but need a larger
+    # quorum.
     network.start('d.new', messages.Config())
     network.repair('d.new', 2.0)
     config = network.leader().config
@@ -162,7 +163,7 @@
 
 
 def test_unresponsive_learner_is_not_promoted(network):
-    # It was up to date, and the log is quiet: by its log alone it still is.
+    # While nothing is appended, a crashed learner still counts as caught up.
     network.start('d.new', messages.Config())
     network.repair('d.new', 1.0)
     network.isolated.add('d.new')
@@ -192,8 +193,8 @@
 
 
 def test_append_size_is_bounded(network):
-    # A storm of large route maps while one replica is away: the whole
-    # backlog in one message would block its link for seconds.
+    # Guards against sending a large backlog to a lagging replica in one
+    # message, which would block its link.
     leader = network.leader()
     lagging = next(i for i in network.replicas if i != leader.ident)
     network.isolated.add(lagging)
@@ -216,7 +217,7 @@
     assert largest <= 1 << 20
 
 
-# News and load reports
+# Watch replies and load reports
 
 
 class FakeBackends(ports.BackendList):
@@ -231,7 +232,7 @@
 
 
 class FakeServer:
-    """What a fleet's control uses of a replica."""
+    """Stub of the control server that ``FleetControl`` uses."""
 
     def __init__(self):
         self.clock = node.boot_time
@@ -288,8 +289,8 @@
 
 
 async def test_long_poll_past_the_lease_returns_no_state(fleet, server):
-    # The process is suspended while the call is held. Its state may be old
-    # by the time the answer leaves.
+    # Guards against stale state in a long-poll reply after the process was
+    # suspended and lost its lease.
     call = asyncio.ensure_future(fleet.watch._on_watch(watch(hold_s=0.1)))
     await asyncio.sleep(0.02)
     server.lease = False
@@ -337,8 +338,8 @@
 
 
 async def test_disk_failure_does_not_end_the_process(tmp_path, monkeypatch):
-    # The disk is full for a while. The replica begins anew from what is
-    # there, once writes are taken again, and holds what it acknowledged.
+    # The disk is full for a while. Once writes succeed again, the replica
+    # restarts from its log and keeps what it acknowledged.
     port = settings.Address('127.0.0.1', 45873)
     config = settings.Control(
         'c1',
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits and weights: shared by all entries, and never passed."""
+"""Limits and weights shared by all entries, and routing by load."""
 
 import asyncio
 import random
@@ -23,8 +23,8 @@
 
 
 def test_leases_and_floors_never_exceed_the_limits(rng):
-    # Entries ask in any order, freeze through their lease, and wake. At no
-    # time may the leases in use and all floors exceed the row's limits.
+    # Guards against exceeding a row's limits when entries request leases in
+    # any order and are suspended past the end of a lease.
     home = decisions.QuotaHome(-100.0)
     shares = {n: decisions.QuotaShare(LIMITED, len(ENTRIES)) for n in ENTRIES}
     now = 0.0
@@ -35,7 +35,7 @@
         sent = now
         running = share.running_on_lease
         grant = home.grant(ask(name, rng.randint(1, 9), running), LIMITED, now)
-        # The answer may come late; the lease counts from when it was sent.
+        # The reply may be late; the lease runs from the time of the request.
         now += rng.random() * 0.3
         share.take_grant(grant, sent)
         rates = [s._rate_limit(now) for s in shares.values()]
@@ -45,8 +45,8 @@
 
 
 def test_new_home_waits_for_earlier_leases_to_expire():
-    # The home is lost; the next one knows no lease. It grants nothing for
-    # one lease time, while the old ones may still be in use.
+    # A new home doesn't know the leases of its predecessor, so it must not
+    # grant anything until they have expired.
     home = decisions.QuotaHome(10.0)
     assert home.grant(ask('e1'), LIMITED, 10.1).slots == 0
     assert home.grant(ask('e1'), LIMITED, 10.0 + LEASE_S).slots > 0
@@ -76,9 +76,8 @@
 
 
 def test_holder_above_its_share_starts_nothing_new():
-    # Another entry has come, and half of the slots is its. What runs beyond
-    # that ends by itself; the freed slots aren't filled again, and until
-    # then the other gets only what is really free.
+    # Requests above a reduced share may finish but aren't replaced. The other
+    # holder gets only the slots that are free until then.
     home = decisions.QuotaHome(-100.0)
     assert home.grant(ask('e1'), LIMITED, 0.0).slots == 10
     home.grant(ask('e2'), LIMITED, 1.0)
@@ -102,8 +101,8 @@
 async def test_entry_slots_follow_account_weights(
     make_system,
 ):
-    # Two accounts of weights 1 and 3 each load another entry far beyond the
-    # engines. Each entry gets places in proportion, not an equal part.
+    # Two accounts with weights 1 and 3 overload one entry each. The entries'
+    # slots must follow the weights instead of being equal.
     system = await make_system(entries=2, gap_s=0.05, slots=16)
     light_row, heavy_row = (
         conftest.row('light'),
@@ -141,7 +140,7 @@
 
 
 def run_queue(weights, seconds, backlog, rng):
-    """Serve a queue of always waiting flows; return tokens of each."""
+    """Serve permanently backlogged flows; return the tokens of each."""
     queue = decisions.FairQueue(4)
     served = dict.fromkeys(weights, 0.0)
     running = []
@@ -212,8 +211,8 @@
 
 
 async def test_concurrency_limit_holds_across_entries(make_system):
-    # Callers send far more than the row allows, through all entries. The
-    # engines never see more than the limit at once, and all are answered.
+    # Guards against exceeding a row's concurrency when callers overload it
+    # through all entries. Requests over the limit get status 429.
     system = await make_limited_system(make_system, concurrency=3)
     max_running = 0
 
@@ -242,8 +241,8 @@
 
 
 async def test_request_that_cannot_meet_its_deadline_is_refused(make_system):
-    # The row's tokens are spent for longer than its deadline. The caller
-    # hears so at once, with when to come back, and isn't kept waiting.
+    # The row's token debt outlasts its deadline, so the request must be
+    # refused immediately, with a retry time, instead of being queued.
     system = await make_limited_system(
         make_system, token_rate=20, deadline_s=0.5
     )
@@ -284,8 +283,8 @@
 
 
 def test_stale_report_does_not_attract_all_requests():
-    # One engine reported to be idle some seconds ago, the others busy.
-    # Requests that follow aren't all sent there.
+    # Guards against sending all requests to an engine that reported to be
+    # idle a while ago.
     router = decisions.Router(random.Random(7))
     router.update(servers(8))
     for state in router.states.values():
@@ -301,8 +300,7 @@
 
 
 def test_rare_prefix_uses_few_engines(rng):
-    # Among many others, one prompt's requests go to the engines that have
-    # its beginning in their cache.
+    # Requests with a common prefix should hit the same prefix caches.
     router = decisions.Router(rng)
     router.update(servers(40))
     chosen = set()
@@ -314,7 +312,7 @@
 
 
 def test_common_prefix_is_spread(rng):
-    # Kept to a few engines, it would queue there while others idle.
+    # Guards against queueing on a few engines while others are idle.
     router = decisions.Router(rng)
     router.update(servers(40))
     for number in range(400):
@@ -337,8 +335,8 @@
 
 
 def test_many_different_prompts_can_be_routed(rng):
-    # The counts of prompts are halved now and then, and the rare forgotten,
-    # the one just counted among them.
+    # Guards against a failure when the prompt counts are halved and the
+    # count just incremented is dropped.
     router = decisions.Router(rng)
     router.update(servers(3))
     for number in range(20_000):
@@ -346,9 +344,8 @@
 
 
 async def test_slot_of_a_cancelled_request_is_released(system):
-    # A caller leaves in the very turn in which its place comes free. The
-    # place must not stay taken for good: each such loss would make the
-    # entry smaller.
+    # Guards against leaking a slot when a request is cancelled in the same
+    # event loop iteration in which it gets the slot.
     admission = system.entries['e1'].admission
     admission.queue.running = admission.queue.capacity
     waiting = asyncio.ensure_future(admission.enter(conftest.row()))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership among entries, over random orders of probes and losses."""
+"""SWIM membership of entries under failures and partitions."""
 
 import random
 
@@ -11,7 +11,7 @@
 
 
 class EntryGroup:
-    """Entries that probe each other in rounds of one period."""
+    """Simulated entries that probe each other once per period."""
 
     def __init__(self, count, seed=1):
         self.instances = [
@@ -40,7 +40,7 @@
         )
 
     def probe(self, one, other):
-        """A probe and its answer; false where either is lost."""
+        """Exchange a probe and its reply; return whether both arrived."""
         updates = self.members[one].tell()
         self.count(one, messages.Probe(updates))
         if not self.can_reach(one, other):
@@ -82,7 +82,7 @@
 
 
 def group_with_dead_entry(name):
-    """Return a group that has found one of its entries dead."""
+    """Return a group that has declared one of its entries dead."""
     group = EntryGroup(10)
     for _ in range(8):
         group.run_period()
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize('both_ways', [False, True])
 def test_link_failure_between_two_entries_marks_neither_dead(both_ways):
-    # Two entries can't hear each other, but others reach both.
+    # The two entries can't reach each other, but indirect probes succeed.
     group = EntryGroup(10)
     group.blocked_links.add(('e1', 'e2'))
     if both_ways:
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,8 +1,8 @@
-"""The replicated log, over random schedules of its pure decisions.
+"""Simulation tests of the Raft replica under randomized schedules.
 
-Replicas, disks, clocks and the network are played by one seeded schedule:
-messages are delivered late, twice, out of order or never; replicas crash
-between any two steps, freeze, are cut off one way or both, and lose disks.
+A seeded schedule simulates replicas, disks, clocks and the network. Messages
+are delayed, duplicated, reordered or lost; replicas crash between any two
+steps, are suspended or partitioned in one or both directions, and lose disks.
 """
 
 import random
@@ -19,12 +19,12 @@
 
 
 class InvariantViolation(AssertionError):
-    """A property of the log doesn't hold."""
+    """A safety property of the log doesn't hold."""
 
 
 @attrs.define
 class Disk:
-    """What a replica has synced."""
+    """Synced state of a replica."""
 
     term: int = 0
     vote: str = ''
@@ -81,7 +81,7 @@
         self.replicas.pop(name, None)
 
     def process_ready(self, name):
-        """Save, send and apply, crashing in between now and then."""
+        """Save, send and apply, with occasional crashes before saving."""
         replica = self.replicas[name]
         while True:
             replica.flush(self.now)
@@ -121,7 +121,7 @@
                 raise InvariantViolation(f'two leaders in term {replica.term}')
 
     def check_leases(self):
-        """Who holds the lease has all that any leader has committed."""
+        """Check that a lease holder has every committed entry."""
         newest = max(self.committed, default=0)
         for name, replica in self.replicas.items():
             if replica.lease_holds(self.now) and replica.commit < newest:
@@ -129,10 +129,10 @@
                     f'{name} holds a lease but lacks {newest}'
                 )
 
-    # Steps
+    # Schedule steps
 
     def advance_clock(self):
-        # Now and then everything stands still for longer than a lease.
+        # Occasionally every replica pauses for longer than a lease.
         pause = 1.5 if self.rng.random() < 0.04 else 0.15
         self.now += self.rng.random() * pause
         for name in list(self.replicas):
@@ -146,7 +146,7 @@
     def deliver(self):
         if not self.network:
             return
-        # Mostly the oldest first, as TCP would; sometimes any.
+        # Mostly in order, like TCP; sometimes reordered.
         late = self.rng.random() < 0.3
         number = self.rng.randrange(len(self.network)) if late else 0
         sender, receiver, message = self.network.pop(number)
@@ -188,7 +188,7 @@
         elif kind == 4:
             self.compact(name)
         else:
-            # A quick restart, as a supervisor does it.
+            # Immediate restart, as by a supervisor.
             self.restart()
 
     def compact(self, name):
@@ -230,7 +230,7 @@
         self.start(name)
 
     def deliver_between(self, sender, receiver):
-        """Deliver what is under way from one replica to another."""
+        """Deliver all messages in flight from one replica to another."""
         due = [m for m in self.network if m[:2] == (sender, receiver)]
         for item in due:
             self.network.remove(item)
@@ -243,7 +243,7 @@
             self.process_ready(name)
 
     def heal(self, seconds=12.0):
-        """End all trouble, and let the replicas agree."""
+        """End all faults and run until the replicas agree."""
         self.fault_free = True
         self.blocked_links.clear()
         self.suspended_until.clear()
@@ -271,9 +271,8 @@
 
 @pytest.mark.parametrize('size', [3, 5])
 def test_random_schedules_keep_the_log_consistent(size):
-    # Callers must never see a committed entry change or vanish, two leaders
-    # in one term, or an old value read under a lease; and once trouble
-    # ends, the log must go on.
+    # Guards against lost or changed committed entries, two leaders in a term,
+    # stale reads under a lease, and a cluster stuck after the faults end.
     committed = 0
     schedules = SCHEDULES if size == 3 else SCHEDULES // 3
     for seed in range(schedules):
@@ -289,12 +288,12 @@
             pytest.fail(f'seed {seed}, {size} replicas: {error!r}')
         assert leader.commit > before, f'seed {seed}: stuck'
         committed += len(cluster.committed)
-    # A search in which little is ever committed would prove nothing.
+    # The schedules must commit enough entries to be meaningful.
     assert committed > 8 * schedules
 
 
 def double_vote(bug):
-    """A voter restarts between two requests of one term."""
+    """Restart a voter between two vote requests of one term."""
     cluster = Cluster(1, 3, bug=bug)
     cluster.fault_free = True
     a, b, voter = cluster.disks
@@ -313,7 +312,7 @@
 
 
 def election_during_lease(bug):
-    """A follower restarts right after it has extended a lease."""
+    """Restart a follower right after it extended the leader's lease."""
     cluster = Cluster(1, 3, bug=bug)
     cluster.heal(5.0)
     leader = cluster.leader().ident
@@ -341,7 +340,8 @@
 
 @pytest.mark.parametrize('bug', BUG_SCHEDULES)
 def test_seeded_bug_fails_its_schedule(bug):
-    # The random schedules rarely reach these orders, so they stand here.
+    # Random schedules rarely reach these interleavings. Each one must fail
+    # with its seeded bug and pass without it.
     BUG_SCHEDULES[bug]('')
     with pytest.raises(InvariantViolation):
         BUG_SCHEDULES[bug](bug)
@@ -354,8 +354,8 @@
 
 
 def test_suspended_leader_has_no_lease():
-    # The old leader wakes after others have elected a new one. Before any
-    # message arrives, its own clock tells that its lease is over.
+    # Guards against a resumed leader that serves reads under an expired lease
+    # before any message reaches it.
     cluster = stable_cluster()
     old = cluster.leader()
     assert old.lease_holds(cluster.now)
@@ -379,8 +379,8 @@
 
 
 def test_one_way_partition_does_not_depose_the_leader():
-    # It hears nobody but is heard: without pre-vote its growing term would
-    # end the leader's again and again.
+    # The partitioned replica can send but not receive. Without pre-vote, its
+    # growing term would depose the leader repeatedly.
     cluster = stable_cluster()
     leader = cluster.leader()
     partitioned = next(n for n in cluster.disks if n != leader.ident)
@@ -396,7 +396,7 @@
 
 
 def replace_disk(cluster, name):
-    """Lose a replica's disk; it joins as a new identity."""
+    """Lose a replica's disk and start it with a new identity."""
     cluster.crash(name)
     del cluster.disks[name]
     fresh = f'{instance_name(name)}.new'
@@ -410,7 +410,7 @@
 
 
 def add_voter(cluster, fresh, rounds=80):
-    """Let the leader take the new replica in, step by step."""
+    """Let the leader add a replica as a learner and then as a voter."""
     for _ in range(rounds):
         leader = cluster.leader()
         request = messages.JoinRequest(fresh, 'address')
@@ -424,8 +424,8 @@
 
 
 def test_cluster_with_replaced_disk_survives_another_loss():
-    # An operator loses one disk, and right after the repair a second
-    # replica. All that was committed must still be there.
+    # Guards against losing committed entries when a second replica fails
+    # right after a disk was replaced.
     cluster = stable_cluster()
     for _ in range(30):
         cluster.propose()
--- a/tests/test_replica_restarts.py
+++ b/tests/test_replica_restarts.py
@@ -1,4 +1,4 @@
-"""Who leads after replicas have restarted."""
+"""Leadership after restarts of replicas."""
 
 import pytest
 
@@ -6,14 +6,14 @@
 
 
 def restart(cluster, *names):
-    """Lose and give back the power of replicas; what was under way is lost."""
+    """Restart replicas and drop all messages in flight."""
     cluster.network.clear()
     for name in names:
         cluster.restart(name)
 
 
 def time_to_leader(cluster, timeout=5.0, suspended=()):
-    """Return the seconds until one that isn't frozen holds the lease."""
+    """Return the seconds until a running replica holds the lease."""
     started = cluster.now
     running = [name for name in cluster.replicas if name not in suspended]
     while cluster.now - started < timeout:
@@ -33,9 +33,8 @@
 
 @pytest.mark.parametrize('size', [3, 5])
 def test_leader_resumes_after_a_full_restart(size):
-    # Until control leads, no entry that has just started can serve. Waiting
-    # for silence takes 1.0 to 2.0 s at this timing, and guards a lease that
-    # nobody can hold any more.
+    # After a full restart no lease can be held, so the last leader need not
+    # wait for the election timeout. Entries can't start without a leader.
     cluster = log.stable_cluster(size)
     former = cluster.leader().ident
     restart(cluster, *cluster.disks)
@@ -52,8 +51,8 @@
 
 
 def test_restarted_followers_respect_the_lease():
-    # The leader is frozen and holds its lease for a while. The others lose
-    # power and are back at once: neither may lead within that lease.
+    # The suspended leader still holds its lease, so the restarted followers
+    # must not elect another leader before it expires.
     cluster = log.stable_cluster(3)
     suspended = cluster.leader().ident
     others = [name for name in cluster.disks if name != suspended]
@@ -64,7 +63,7 @@
 
 
 def test_replaced_leader_waits_for_the_election_timeout():
-    # Another one has led since, and may hold the lease.
+    # Another replica has led since then and may hold a lease.
     cluster = log.stable_cluster(3)
     former = cluster.leader().ident
     assert time_to_leader(cluster, suspended=(former,)) < 5.0
--- a/tests/test_replica_search.py
+++ b/tests/test_replica_search.py
@@ -1,9 +1,7 @@
-"""Seeded schedules that look where elections and leases can go wrong.
+"""Randomized schedules focused on elections and leases.
 
-Schedules that do everything at random found neither known bug in 800 seeds:
-both need a restart within a beat of one certain message, and such a restart
-was one step in a thousand. Here the restarts are frequent, and the trouble is
-of one kind at a time, so that each bug is met within some dozen seeds.
+Each profile injects one kind of fault, with frequent restarts, so that it
+reaches interleavings that fully random schedules rarely do.
 """
 
 import random
@@ -19,10 +17,10 @@
 
 
 def step(cluster, rng, *, late=0.2, slow=0.0, blocked_links=()):
-    """Let a little time pass, and deliver most of what is under way.
+    """Advance the clock and deliver most messages in flight.
 
-    :param late: share of messages that take another step.
-    :param slow: share that take as long as a silence does.
+    :param late: fraction of messages delayed by a step.
+    :param slow: fraction of messages delayed by an election timeout.
     """
     cluster.now += STEP_S * (0.5 + rng.random())
     cluster.tick(*(n for n in list(cluster.replicas) if cluster.is_running(n)))
@@ -59,7 +57,7 @@
 
 
 def split_vote(seed, bug):
-    """Two ask for votes at once; who wins is cut off, the voter restarts."""
+    """Two candidates compete; isolate the winner and restart the voter."""
     rng = random.Random(seed)
     cluster = make_cluster(seed, 3, bug)
     voter, *candidates = rng.sample(list(cluster.disks), 3)
@@ -76,7 +74,7 @@
 
 
 def partitioned_candidate(seed, bug):
-    """One replica loses its leader, which others still follow and restart."""
+    """One replica loses contact with the leader; its follower restarts."""
     rng = random.Random(seed)
     cluster = make_cluster(seed, 3, bug)
     cluster.heal(5.0)
@@ -90,7 +88,7 @@
 
 
 def suspended_leader(seed, bug):
-    """The leader stands still, wakes, and restarts; so do the others."""
+    """Replicas are suspended and restarted at random, the leader included."""
     rng = random.Random(seed)
     cluster = make_cluster(seed, 3, bug)
     cluster.heal(5.0)
@@ -109,7 +107,7 @@
 
 
 def power_losses(seed, bug):
-    """All lose power again and again, and come back one after the other."""
+    """All replicas crash repeatedly and restart one after another."""
     rng = random.Random(seed)
     cluster = make_cluster(seed, 5, bug)
     cluster.heal(5.0)
@@ -168,8 +166,8 @@
 
 
 def test_only_the_logged_leader_resumes_after_a_restart():
-    # Who restarts as the leader of its term asks at once. It may only do so
-    # where the log says that it led, not where it merely voted for itself.
+    # Only a replica that led according to the log may skip the election
+    # timeout, not one that merely voted for itself.
     cluster = log.Cluster(3, 3)
     cluster.heal(5.0)
     leader = cluster.leader().ident
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -1,4 +1,4 @@
-"""The table: edits of operators, racing, resent and wrong."""
+"""Table edits: conflicts, resends, CSV parsing and lost control."""
 
 import attrs
 import pytest
@@ -9,7 +9,7 @@
 
 
 def edit(name, base, rows):
-    """Return the edit that a push of these rows makes."""
+    """Return the arguments of an edit that pushes these rows."""
     return (name, base, rows)
 
 
@@ -73,8 +73,7 @@
 
 
 def test_stale_pull_does_not_revert_other_edits(table):
-    # The operator pulled before another's edit and pushes a change of a
-    # different row; the cells that it didn't touch stay as they are now.
+    # Guards against a push that reverts rows changed since the pull.
     stale_rows = change(table, 'planners', weight=5.0)
     table.apply(edit('theirs', 1, change(table, 'vendors', weight=3.0)))
     assert table.apply(edit('mine', 1, stale_rows)).accepted
@@ -125,7 +124,7 @@
 def test_csv_round_trip(table):
     text = decisions.write_csv(table.rows(), table.revision)
     assert decisions.read_csv(text) == (table.rows(), 1)
-    # As a spreadsheet may save it.
+    # Spreadsheets may use semicolons, CRLF and a byte order mark.
     saved = '\ufeff' + text.replace(',', ';').replace('\n', '\r\n')
     assert decisions.read_csv(saved) == (table.rows(), 1)
 
@@ -198,7 +197,7 @@
 
 
 async def test_entry_ignores_an_older_table(system):
-    # A replica that lags answers an entry that has already seen more.
+    # A lagging replica may reply with an older table.
     table = system.entries['e1'].table
     old = messages.TableReply('done', revision=0, whole=True)
     table.take(old, 0.0)
@@ -207,8 +206,8 @@
 
 
 async def test_entry_without_control_refuses_requests(make_system):
-    # Control is gone for longer than the table's lease. A caller hears
-    # ran: no and other entries, instead of limits long taken back.
+    # Guards against enforcing outdated limits after the table's lease
+    # expired. The error must state that the request wasn't executed.
     system = await make_system(options={'table_lease_s': 0.1})
     await system.stop_control()
     entry = system.entries['e1']
--- a/tests/test_takeover_orders.py
+++ b/tests/test_takeover_orders.py
@@ -1,9 +1,9 @@
-"""Random orders of losses over the decisions that move a text between entries.
+"""Simulation tests of key takeover under random failures.
 
-A world of five entries, one key and one caller is made of the pure parts:
-transcripts, copy stores, pointers and takeovers. Tokens, appends, losses and
-moves come in an order drawn from a seed; after each, what the caller has must
-be a beginning of one text.
+Five entries, one key and one caller are simulated with transcripts, copy
+stores, pointers and takeovers. A seeded schedule orders tokens, appends,
+failures and reconnects. After each step, the caller's tokens must be a prefix
+of a single text.
 """
 
 import random
@@ -22,12 +22,12 @@
 
 
 class MixedTexts(AssertionError):
-    """The caller holds tokens that no one text begins with."""
+    """The caller's tokens aren't a prefix of a single text."""
 
 
 @attrs.define
 class ServedKey:
-    """An entry's side of the key."""
+    """State of the key on an entry that serves it."""
 
     epoch: int
     transcript: decisions.Transcript
@@ -60,17 +60,17 @@
         return [NAMES[(start + n) % len(NAMES)] for n in range(2)]
 
     def reachable(self, name):
-        """Draw the entries that answer this time; the own one does."""
+        """Return a random set of entries that answer, including ``name``."""
         return [
             n
             for n in NAMES
             if n == name or self.rng.random() < self.answer_probability
         ]
 
-    # Steps
+    # Schedule steps
 
     def reconnect(self):
-        """The caller turns to an entry, with what it has."""
+        """Connect the caller to a random entry to resume the answer."""
         name = self.rng.choice(NAMES)
         self.caller_entry = None
         served = self.serving.get(name)
@@ -136,7 +136,7 @@
         return pointers.majority and pointers.epoch == epoch
 
     def dispatch(self):
-        """Some serving entry starts an attempt on an engine."""
+        """Start an attempt at a random serving entry."""
         served = self.random_served()
         if served is None:
             return
@@ -150,7 +150,7 @@
         self.engines.append([served, number, text, len(tokens)])
 
     def generate_token(self):
-        """Some engine sends a token, now and then one it sent before."""
+        """Send a token from a random engine, sometimes a duplicate."""
         if not self.engines:
             return
         engine = self.rng.choice(self.engines)
@@ -168,7 +168,7 @@
             )
 
     def send(self):
-        """Some entry sends what a peer lacks; it may arrive late or never."""
+        """Send missing tokens to a peer; they may arrive late or get lost."""
         name = self.rng.choice(NAMES)
         served = self.serving.get(name)
         if served is None or served.fenced:
@@ -193,13 +193,16 @@
             served.acked[peer] = length
 
     def toggle_lost_peer(self):
-        """An entry gives a peer up: it shows without its copies."""
+        """Toggle whether an entry considers a peer lost.
+
+        Tokens are delivered without waiting for the copies of lost peers.
+        """
         served = self.random_served()
         if served is not None:
             served.lost_peers ^= {self.rng.choice(NAMES)}
 
     def deliver_to_caller(self):
-        """The caller gets what all live peers of its entry hold."""
+        """Deliver the tokens that all live peers of the entry have stored."""
         served = self.serving.get(self.caller_entry)
         if served is None or served.fenced:
             return
@@ -213,7 +216,7 @@
         self.received += served.transcript.tokens[len(self.received) : visible]
 
     def restart(self):
-        """An entry dies, and comes back with nothing."""
+        """Restart a random entry without its state."""
         name = self.rng.choice(NAMES)
         self.stores[name] = decisions.CopyStore(60.0, self.now)
         self.serving.pop(name, None)
@@ -265,15 +268,15 @@
         reconnects += simulation.reconnects
         refusals += simulation.refusals
         received += len(simulation.received)
-    # The search means nothing where callers never move or never receive.
+    # The schedules must cover reconnects and delivered tokens.
     assert reconnects > SEEDS
     assert received > SEEDS
     assert refusals < reconnects
 
 
 def test_search_detects_a_copy_of_an_earlier_text():
-    # Known bug, seeded: without ``since``, a copy of a first text, missed
-    # at one takeover and found at the next, continues the second text.
+    # Seeded bug: without ``since``, a copy of the first text that one
+    # takeover missed and the next one found would continue the second text.
     with pytest.raises(MixedTexts):
         for seed in range(SEEDS * 5):
             Simulation(seed, ignore_since=True).run()
