--- a/src/bulrushhold/decisions/_replica.py
+++ b/src/bulrushhold/decisions/_replica.py
@@ -229,7 +229,7 @@
         # During an election timeout after contact with a leader, grant no
         # vote and adopt no term, so that a partitioned replica can't depose
         # a working leader or break its lease. A request from the leader of
-        # this term shows that it no longer leads: grant it right away, so
+        # this term shows that it no longer leads: consider it right away, so
         # that a cluster recovers quickly after all replicas restart.
         leader_active = now < self.leader_contact_at + self.timing.election_s
         leader_active = leader_active and request.candidate != self.term_leader
--- a/src/bulrushhold/decisions/_takeover.py
+++ b/src/bulrushhold/decisions/_takeover.py
@@ -1,10 +1,10 @@
 """Takeover of a key by another entry, and the choice of the copy to resume.
 
-A key can have more than one text, since an entry that finds no copy starts
-the answer over. A caller with tokens of one text must never get the rest of
-another. An entry that starts a text therefore records its epoch (``since``)
-at a majority of the key's pointer homes before using an engine, and an entry
-that takes over reads a majority and ignores copies written before ``since``.
+A key can have more than one generated text, since an entry that finds no copy
+starts the answer over. A caller with tokens of one text must never get the
+rest of another. An entry that starts a text therefore records its epoch
+(``since``) at a majority of the key's pointer homes before using an engine,
+and a takeover reads a majority and ignores copies written before ``since``.
 """
 
 import collections.abc as cabc
