--- a/src/bulrushhold/decisions/_fairqueue.py
+++ b/src/bulrushhold/decisions/_fairqueue.py
@@ -111,12 +111,15 @@
         if self.running < self.capacity and not self.waiting:
             return 0.0
         flow = self.flows.get(name)
-        own = len(flow.items) if flow else 0
-        others = sum(
+        queued = len(flow.items) if flow else 0
+        other_weight = sum(
             f.weight for n, f in self.flows.items() if f.items and n != name
         )
         return (
-            (own + 1) * self.completion_interval_s * (weight + others) / weight
+            (queued + 1)
+            * self.completion_interval_s
+            * (weight + other_weight)
+            / weight
         )
 
     def _drop_idle_flows(self) -> None:
--- a/src/bulrushhold/decisions/_raftlog.py
+++ b/src/bulrushhold/decisions/_raftlog.py
@@ -77,7 +77,7 @@
         :param ident: identity of the replica.
         :param state: encoded state machine as of ``index``.
         """
-        kept = self.slice(index + 1, self.last_index - index)
+        remaining = self.slice(index + 1, self.last_index - index)
         self.snapshot = messages.InstallSnapshot(
             term,
             ident,
@@ -87,7 +87,7 @@
             state,
             0,
         )
-        self.entries = kept
+        self.entries = remaining
         return self.snapshot
 
     def leader_of(self, term: int) -> str:
--- a/src/bulrushhold/decisions/_recovery.py
+++ b/src/bulrushhold/decisions/_recovery.py
@@ -120,7 +120,7 @@
     @abc.abstractmethod
     def on_silence(
         self,
-        silence: float,
+        idle_s: float,
         gaps: GapEstimate,
         *,
         started: bool,
@@ -129,7 +129,7 @@
     ) -> Action:
         """Decide about an attempt that has produced no token for a while.
 
-        :param silence: seconds since the last token.
+        :param idle_s: seconds since the last token.
         :param hedged: whether a hedged attempt is already running.
         :param cost: tokens that an engine must process to take over.
         """
@@ -144,7 +144,7 @@
 
     def on_silence(
         self,
-        silence: float,
+        idle_s: float,
         gaps: GapEstimate,
         *,
         started: bool,
@@ -153,7 +153,7 @@
     ) -> Action:
         """Replace the attempt after the stall timeout."""
         del reserve, cost
-        if silence >= self.loss_after(gaps, started=started):
+        if idle_s >= self.loss_after(gaps, started=started):
             return Action.REPLACE
         return Action.WAIT
 
@@ -173,7 +173,7 @@
 
     def on_silence(
         self,
-        silence: float,
+        idle_s: float,
         gaps: GapEstimate,
         *,
         started: bool,
@@ -181,10 +181,10 @@
         cost: int,
     ) -> Action:
         """Hedge within the budget; replace after the stall timeout."""
-        if silence >= self.loss_after(gaps, started=started):
+        if idle_s >= self.loss_after(gaps, started=started):
             return Action.REPLACE
         hedge_after = self.check_after(gaps, started=started)
-        if silence >= hedge_after and not reserve and self.budget.allows(cost):
+        if idle_s >= hedge_after and not reserve and self.budget.allows(cost):
             self.budget.spend(cost)
             return Action.RESERVE
         return Action.WAIT
--- a/src/bulrushhold/decisions/_table.py
+++ b/src/bulrushhold/decisions/_table.py
@@ -56,15 +56,15 @@
         return self.floor <= revision <= self.revision
 
     def changes_since(
-        self, known: int
+        self, known_revision: int
     ) -> tuple[list[messages.Row], list[str]]:
-        """Return the rows set and keys removed after revision ``known``."""
+        """Return the rows set and keys removed after ``known_revision``."""
         keys: dict[str, None] = {}
         for revision, changed in reversed(self.changed):
-            if revision <= known:
+            if revision <= known_revision:
                 break
             keys |= dict.fromkeys(changed)
-        if known < self.floor:
+        if known_revision < self.floor:
             keys = dict.fromkeys(self.versions)
         rows = []
         removed = []
@@ -188,9 +188,9 @@
     before: list[messages.Row], after: list[messages.Row]
 ) -> tuple[list[messages.Row], list[str]]:
     """Return the rows to set and keys to remove to turn one into another."""
-    known = {row.key: row for row in before}
-    rows = [row for row in after if known.get(row.key) != row]
-    removed = known.keys() - {row.key for row in after}
+    before_by_key = {row.key: row for row in before}
+    rows = [row for row in after if before_by_key.get(row.key) != row]
+    removed = before_by_key.keys() - {row.key for row in after}
     return rows, sorted(removed)
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -181,15 +181,17 @@
 def test_removed_replica_rejoins_after_suspension(network):
     network.start('d.new', messages.Config())
     network.repair('d.new', 1.0)
-    frozen = next(i for i in network.replicas if i != network.leader().ident)
-    network.isolated.add(frozen)
+    suspended = next(
+        i for i in network.replicas if i != network.leader().ident
+    )
+    network.isolated.add(suspended)
     network.repair(seconds=4.0)
-    assert frozen not in network.leader().config.voters
+    assert suspended not in network.leader().config.voters
     network.isolated.clear()
     network.run(1.0)
-    assert network.replicas[frozen].silent_for(network.now) > 2.0
-    network.repair(frozen, 2.0)
-    assert frozen in network.leader().config.learners
+    assert network.replicas[suspended].silent_for(network.now) > 2.0
+    network.repair(suspended, 2.0)
+    assert suspended in network.leader().config.learners
 
 
 def test_append_size_is_bounded(network):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,7 +16,7 @@
 LIMITED = conftest.row(token_rate=100.0, concurrency=10)
 
 
-def ask(holder, want=1.0, running=0, need=99):
+def lease_request(holder, want=1.0, running=0, need=99):
     return messages.QuotaAsk(
         LIMITED.key, holder, want, need, running, len(ENTRIES)
     )
@@ -34,7 +34,9 @@
         share = shares[name]
         sent = now
         running = share.running_on_lease
-        grant = home.grant(ask(name, rng.randint(1, 9), running), LIMITED, now)
+        grant = home.grant(
+            lease_request(name, rng.randint(1, 9), running), LIMITED, now
+        )
         # The reply may be late; the lease runs from the time of the request.
         now += rng.random() * 0.3
         share.take_grant(grant, sent)
@@ -48,13 +50,13 @@
     # A new home doesn't know the leases of its predecessor, so it must not
     # grant anything until they have expired.
     home = decisions.QuotaHome(10.0)
-    assert home.grant(ask('e1'), LIMITED, 10.1).slots == 0
-    assert home.grant(ask('e1'), LIMITED, 10.0 + LEASE_S).slots > 0
+    assert home.grant(lease_request('e1'), LIMITED, 10.1).slots == 0
+    assert home.grant(lease_request('e1'), LIMITED, 10.0 + LEASE_S).slots > 0
 
 
 def test_row_first_used_later_is_granted_at_once():
     home = decisions.QuotaHome(10.0)
-    assert home.grant(ask('e1'), LIMITED, 100.0).slots == 10
+    assert home.grant(lease_request('e1'), LIMITED, 100.0).slots == 10
 
 
 def test_suspended_holder_keeps_only_its_floor():
@@ -68,8 +70,8 @@
 def test_leases_follow_demand():
     home = decisions.QuotaHome(-100.0)
     for now in (0.0, 1.0, 2.0, 3.0):
-        first = home.grant(ask('e1', 9.0), LIMITED, now)
-        second = home.grant(ask('e2', 1.0), LIMITED, now)
+        first = home.grant(lease_request('e1', 9.0), LIMITED, now)
+        second = home.grant(lease_request('e2', 1.0), LIMITED, now)
     assert first.rate == pytest.approx(81.0)
     assert second.rate == pytest.approx(9.0)
     assert first.slots + second.slots <= 10
@@ -79,18 +81,22 @@
     # Requests above a reduced share may finish but aren't replaced. The other
     # holder gets only the slots that are free until then.
     home = decisions.QuotaHome(-100.0)
-    assert home.grant(ask('e1'), LIMITED, 0.0).slots == 10
-    home.grant(ask('e2'), LIMITED, 1.0)
-    assert home.grant(ask('e1', running=10), LIMITED, 1.1).slots == 5
-    assert home.grant(ask('e2'), LIMITED, 1.2).slots == 0
-    assert home.grant(ask('e1', running=7), LIMITED, 2.0).slots == 5
-    assert home.grant(ask('e2'), LIMITED, 2.1).slots == 3
+    assert home.grant(lease_request('e1'), LIMITED, 0.0).slots == 10
+    home.grant(lease_request('e2'), LIMITED, 1.0)
+    assert home.grant(lease_request('e1', running=10), LIMITED, 1.1).slots == 5
+    assert home.grant(lease_request('e2'), LIMITED, 1.2).slots == 0
+    assert home.grant(lease_request('e1', running=7), LIMITED, 2.0).slots == 5
+    assert home.grant(lease_request('e2'), LIMITED, 2.1).slots == 3
 
 
 def test_unneeded_slots_stay_available():
     home = decisions.QuotaHome(-100.0)
-    assert home.grant(ask('e1', 1.0, need=2), LIMITED, 0.0).slots == 2
-    assert home.grant(ask('e2', 1.0, need=9), LIMITED, 0.0).slots == 5
+    assert (
+        home.grant(lease_request('e1', 1.0, need=2), LIMITED, 0.0).slots == 2
+    )
+    assert (
+        home.grant(lease_request('e2', 1.0, need=9), LIMITED, 0.0).slots == 5
+    )
 
 
 async def read_forever(caller, prompt):
