--- a/src/bulrushhold/decisions/_fairqueue.py
+++ b/src/bulrushhold/decisions/_fairqueue.py
@@ -11,6 +11,7 @@
 
 import attrs
 
+# Smoothing gain of the estimated interval between completions.
 INTERVAL_GAIN: t.Final = 0.1
 
 
--- a/src/bulrushhold/decisions/_membership.py
+++ b/src/bulrushhold/decisions/_membership.py
@@ -23,6 +23,7 @@
 SUSPICION_TIMEOUT_S: t.Final = 2.0
 INDIRECT_PROBES: t.Final = 3
 UPDATES_PER_MESSAGE: t.Final = 6
+# Sends of an update, as a multiple of the logarithm of the group size.
 RETRANSMIT_FACTOR: t.Final = 3
 
 
--- a/src/bulrushhold/decisions/_quota.py
+++ b/src/bulrushhold/decisions/_quota.py
@@ -16,8 +16,10 @@
 
 LEASE_S: t.Final = 2.0
 RENEW_S: t.Final = 1.0
+# Fraction of each limit that is split evenly without leases.
 FLOOR_SHARE: t.Final = 0.1
 BURST_S: t.Final = 1.0
+# Headroom for growth until the next renewal.
 NEED_FACTOR: t.Final = 1.5
 
 
--- a/src/bulrushhold/decisions/_routing.py
+++ b/src/bulrushhold/decisions/_routing.py
@@ -14,9 +14,11 @@
 from bulrushhold import ports
 
 MIN_CANDIDATES: t.Final = 4
+# Bounds of the load up to which prefix affinity is kept, relative to the mean.
 MIN_LOAD_FACTOR: t.Final = 1.05
 MAX_LOAD_FACTOR: t.Final = 1.25
 FULL_SLOTS_FRACTION: t.Final = 0.85
+# Bucket counts are halved when their total exceeds this.
 MAX_COUNT_TOTAL: t.Final = 2000.0
 MIN_COUNT_TOTAL: t.Final = 50.0
 REPORT_HALF_LIFE_S: t.Final = 1.0
@@ -25,6 +27,7 @@
 DISCOVERY_LAG_S: t.Final = 30.0
 PROMPT_BUCKETS: t.Final = 1024
 MEAN_LOAD_TTL_S: t.Final = 0.5
+# Engines sampled before falling back to a scan of all.
 SAMPLE_SIZE: t.Final = 8
 
 
