--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Pure decisions: no sockets, no clock, no random source of their own."""
+"""Decision logic without I/O: callers pass in time and random sources."""
 
 from bulrushhold.decisions._admissioncontrol import ADMISSION_CHECK_S
 from bulrushhold.decisions._admissioncontrol import AdmissionController
--- a/src/bulrushhold/decisions/_lifecycle.py
+++ b/src/bulrushhold/decisions/_lifecycle.py
@@ -1,4 +1,4 @@
-"""States of a generation, and the moves between them."""
+"""State machine of a generation."""
 
 import typing as t
 
@@ -16,45 +16,49 @@
     'cancelled',
     'fenced',
 )
-FINAL: t.Final = frozenset(('finished', 'refused', 'cancelled', 'fenced'))
-_LIVE: t.Final = [state for state in STATES if state not in FINAL]
-_MOVES: t.Final = [
+FINAL_STATES: t.Final = frozenset(
+    ('finished', 'refused', 'cancelled', 'fenced')
+)
+_ACTIVE_STATES: t.Final = [
+    state for state in STATES if state not in FINAL_STATES
+]
+_TRANSITIONS: t.Final = [
     ['queue', 'accepted', 'queued'],
     ['dispatch', ['accepted', 'queued', 'recovering'], 'dispatched'],
     ['stream', ['dispatched', 'recovering'], 'streaming'],
     ['lose', ['dispatched', 'streaming'], 'recovering'],
-    ['finish', _LIVE, 'finished'],
-    ['refuse', _LIVE, 'refused'],
-    ['cancel', _LIVE, 'cancelled'],
-    ['fence', _LIVE, 'fenced'],
+    ['finish', _ACTIVE_STATES, 'finished'],
+    ['refuse', _ACTIVE_STATES, 'refused'],
+    ['cancel', _ACTIVE_STATES, 'cancelled'],
+    ['fence', _ACTIVE_STATES, 'fenced'],
 ]
 
 
 @attrs.define(slots=False)
 class Lifecycle:
-    """The state of one generation.
+    """Current state of one generation.
 
-    A move that its state doesn't allow raises
-    ``transitions.MachineError``: a finished answer can't be refused and
-    a refused one can't stream.
+    A transition that isn't allowed in the current state raises
+    ``transitions.MachineError``; a refused generation can't start to
+    stream, for example.
     """
 
     state: str = 'accepted'
 
     def move(self, name: str) -> None:
-        """Make a move, one of the triggers of the machine."""
+        """Fire a trigger of the state machine by its name."""
         _MACHINE.events[name].trigger(self)
 
     @property
     def ended(self) -> bool:
-        """Whether the generation has its final state."""
-        return self.state in FINAL
+        """Whether the generation is in a final state."""
+        return self.state in FINAL_STATES
 
 
 _MACHINE = transitions.Machine(
     model=None,
     states=list(STATES),
-    transitions=_MOVES,
+    transitions=_TRANSITIONS,
     initial='accepted',
     auto_transitions=False,
 )
--- a/src/bulrushhold/decisions/_members.py
+++ b/src/bulrushhold/decisions/_members.py
@@ -1,4 +1,4 @@
-"""How a replica with an empty disk replaces its former self."""
+"""Raft membership changes: adding learners and replacing voters."""
 
 import os
 import typing as t
@@ -9,36 +9,39 @@
 from bulrushhold import messages
 
 
-# Ten lost beats and an election's length: longer than any pause of a process
-# that merely syncs or is short of processor time.
-DEAD_S: t.Final = 1.5
-# A learner that answered within this time can be relied on for the next
-# majority.
-RECENT_S: t.Final = 1.0
+# A voter that hasn't acknowledged a heartbeat for this long may be replaced;
+# longer than a pause for a disk sync or CPU starvation.
+VOTER_TIMEOUT_S: t.Final = 1.5
+# A learner is promoted only if it acknowledged a heartbeat this recently.
+LEARNER_TIMEOUT_S: t.Final = 1.0
 
 
 @attrs.frozen
 class MemberChange:
-    """One membership change and why it is made."""
+    """A configuration to propose and the reason for it."""
 
     config: messages.Config
     reason: str
 
 
 def new_identity(name: str) -> str:
-    """Return an identity that no replica has had before."""
+    """Return a unique replica identity for a control instance."""
     return f'{name}.{os.urandom(6).hex()}'
 
 
 def instance_name(replica: str) -> str:
-    """Return the control instance's name within an identity."""
+    """Return the control instance name in a replica identity."""
     return replica.partition('.')[0]
 
 
 def with_learner(
     replica: _replica.Replica, request: messages.JoinRequest
 ) -> messages.Config | None:
-    """Return the members with one more learner, or ``None``."""
+    """Return the configuration with the requester added as a learner.
+
+    ``None`` if it is a member already. Replaces a learner of the same
+    instance.
+    """
     config = replica.config
     if request.replica in config.voters or request.replica in config.learners:
         return None
@@ -52,31 +55,33 @@
 
 
 def next_config(
-    replica: _replica.Replica, now: float | None = None, wanted: int = 0
+    replica: _replica.Replica, now: float | None = None, voter_count: int = 0
 ) -> MemberChange | None:
-    """Return the next step of a replacement or repair, if one is due.
+    """Return the next configuration change of a replacement, or ``None``.
 
-    The learner first gets a vote, once it holds all that is committed;
-    only then does the lost replica lose its own. In the other order, the
-    loss of one more replica in between could take the last full copy.
+    A caught-up learner is promoted before the lost voter is removed.
+    Removing the voter first would leave one copy of the log fewer until the
+    promotion, and another failure could lose committed entries.
 
-    :param now: seconds of the replica's clock; ``None`` to pass over
-        how long ago others were heard.
-    :param wanted: voters to have; fewer are filled up from the learners,
-        and a voter that is silent is replaced by one.
+    :param now: seconds of the replica's clock; ``None`` to ignore how long
+        ago members acknowledged a heartbeat.
+    :param voter_count: target number of voters. Learners fill up missing
+        voters and replace unresponsive ones.
     """
     config = replica.config
-    leaves = _leaving_voter(replica, now, wanted)
-    if leaves is not None:
-        ident, reason = leaves
+    removal = _voter_to_remove(replica, now, voter_count)
+    if removal is not None:
+        ident, reason = removal
         voters = dict(config.voters)
         del voters[ident]
         return MemberChange(attrs.evolve(config, voters=voters), reason)
-    short = len(config.voters) < wanted
-    short = short or bool(_silent_voters(replica, now))
+    needs_voter = len(config.voters) < voter_count
+    needs_voter = needs_voter or bool(_unresponsive_voters(replica, now))
     for ident, address in config.learners.items():
-        returns = instance_name(ident) in map(instance_name, config.voters)
-        if (short or returns or not wanted) and _caught_up(
+        replaces_voter = instance_name(ident) in map(
+            instance_name, config.voters
+        )
+        if (needs_voter or replaces_voter or not voter_count) and _caught_up(
             replica, ident, now
         ):
             learners = dict(config.learners)
@@ -84,57 +89,61 @@
             voters = {**config.voters, ident: address}
             return MemberChange(
                 messages.Config(voters, learners),
-                f'{ident} holds all that is committed',
+                f'{ident} holds every committed entry',
             )
     return None
 
 
-def _leaving_voter(
-    replica: _replica.Replica, now: float | None, wanted: int
+def _voter_to_remove(
+    replica: _replica.Replica, now: float | None, voter_count: int
 ) -> tuple[str, str] | None:
-    retired = _retired_voter(replica.config)
-    if retired is not None:
-        return retired, f'{retired} was replaced; its disk is gone'
-    if wanted and len(replica.config.voters) > wanted:
-        silent = _silent_voters(replica, now)
-        if silent:
-            return silent[0], f'{silent[0]} is silent and was replaced'
+    replaced = _replaced_voter(replica.config)
+    if replaced is not None:
+        return replaced, f'{replaced} lost its disk and was replaced'
+    if voter_count and len(replica.config.voters) > voter_count:
+        unresponsive = _unresponsive_voters(replica, now)
+        if unresponsive:
+            return unresponsive[
+                0
+            ], f'{unresponsive[0]} is unresponsive and was replaced'
     return None
 
 
-def _silent_voters(replica: _replica.Replica, now: float | None) -> list[str]:
+def _unresponsive_voters(
+    replica: _replica.Replica, now: float | None
+) -> list[str]:
     if now is None:
         return []
     return [
         ident
         for ident in replica.config.voters
         if ident in replica.progress
-        and now - replica.progress[ident].acked_at > DEAD_S
+        and now - replica.progress[ident].acked_at > VOTER_TIMEOUT_S
     ]
 
 
 def _caught_up(
     replica: _replica.Replica, ident: str, now: float | None
 ) -> bool:
-    """Whether a learner holds all that is committed, and is alive.
+    """Whether a learner holds every committed entry and is responsive.
 
-    In a quiet log a learner that is gone holds everything too; a vote
-    for it would make every later majority harder to reach.
+    While nothing is appended, a crashed learner still counts as caught up;
+    promoting it would raise the quorum without adding a live voter.
     """
     progress = replica.progress.get(ident)
     return (
         progress is not None
         and progress.match >= replica.commit
-        and (now is None or now - progress.acked_at < RECENT_S)
+        and (now is None or now - progress.acked_at < LEARNER_TIMEOUT_S)
     )
 
 
-def _retired_voter(config: messages.Config) -> str | None:
-    """Return the elder of two voters of one instance."""
-    seen: dict[str, str] = {}
+def _replaced_voter(config: messages.Config) -> str | None:
+    """Return the older of two voters that belong to one instance."""
+    voter_by_instance: dict[str, str] = {}
     for ident in config.voters:
         name = instance_name(ident)
-        if name in seen:
-            return seen[name]
-        seen[name] = ident
+        if name in voter_by_instance:
+            return voter_by_instance[name]
+        voter_by_instance[name] = ident
     return None
--- a/src/bulrushhold/decisions/_membership.py
+++ b/src/bulrushhold/decisions/_membership.py
@@ -1,9 +1,10 @@
-"""Which entries are live, at a cost per entry that doesn't grow.
+"""Failure detection among entries with constant load per entry.
 
-After SWIM (Das, Gupta and Motivala, 2002) with incarnation numbers: each
-period an entry probes one other; where no answer comes it asks a few others
-to probe it; then it spreads a suspicion, which the suspect may refute. News
-ride on the probes. The platform's list, which lags, says who may be a member.
+Implements SWIM (Das, Gupta and Motivala, 2002) with incarnation numbers. In
+each period an entry probes one member, directly and then through a few
+others. A member that doesn't answer is suspected, and may refute that.
+Updates are piggybacked on probes. Only entries in the platform's list, which
+may lag, can be members.
 """
 
 import collections.abc as cabc
@@ -19,14 +20,15 @@
 
 PERIOD_S: t.Final = 1.0
 PROBE_S: t.Final = 0.3
-SUSPICION_S: t.Final = 2.0
-HELPERS: t.Final = 3
-NEWS_PER_MESSAGE: t.Final = 6
-SPREAD_FACTOR: t.Final = 3
+SUSPICION_TIMEOUT_S: t.Final = 2.0
+INDIRECT_PROBES: t.Final = 3
+UPDATES_PER_MESSAGE: t.Final = 6
+# Sends of an update, as a multiple of the logarithm of the group size.
+RETRANSMIT_FACTOR: t.Final = 3
 
 
 class Status(enum.StrEnum):
-    """What is thought of a member, the graver the later."""
+    """Status of a member, in order of increasing severity."""
 
     ALIVE = 'alive'
     SUSPECT = 'suspect'
@@ -34,31 +36,34 @@
     DEAD = 'dead'
 
 
-_RANK: t.Final = {status: rank for rank, status in enumerate(Status)}
+_SEVERITY: t.Final = {
+    status: severity for severity, status in enumerate(Status)
+}
 
 
 @attrs.define
 class _Member:
-    """One other entry."""
+    """Membership state of another entry."""
 
     instance: ports.Instance
     incarnation: int = 0
     status: Status = Status.ALIVE
-    since: float = 0.0
+    status_since: float = 0.0
 
 
 @attrs.define
-class _News:
-    """Something to be told, a bounded number of times."""
+class _QueuedUpdate:
+    """An update to piggyback on a limited number of messages."""
 
     item: messages.MemberNews
-    left: int
+    remaining_sends: int
 
 
 class Membership:
-    """What one entry knows of the others.
+    """An entry's view of the other entries.
 
-    :param incarnation: grows with every start; milliseconds serve.
+    :param incarnation: must be higher after every restart, for example the
+        start time in milliseconds.
     """
 
     def __init__(
@@ -69,15 +74,15 @@
         self.status = Status.ALIVE
         self.rng = rng
         self.members: dict[str, _Member] = {}
-        self.round: list[str] = []
-        self.news: dict[str, _News] = {}
+        self.probe_order: list[str] = []
+        self.update_queue: dict[str, _QueuedUpdate] = {}
 
     def update_list(self, entries: cabc.Iterable[ports.Instance]) -> None:
-        """Take in the platform's list of entries."""
+        """Add and remove members according to the platform's list."""
         listed = {e.name: e for e in entries if e.name != self.name}
         for name in self.members.keys() - listed.keys():
             del self.members[name]
-            self.news.pop(name, None)
+            self.update_queue.pop(name, None)
         for name, instance in listed.items():
             member = self.members.get(name)
             if member is None:
@@ -86,7 +91,7 @@
                 member.instance = instance
 
     def usable(self, name: str) -> bool:
-        """Whether an entry may be given to callers, or be asked."""
+        """Whether an entry may be offered to callers or sent requests."""
         if name == self.name:
             return self.status is Status.ALIVE
         member = self.members.get(name)
@@ -96,57 +101,64 @@
         )
 
     def next_target(self) -> ports.Instance | None:
-        """Return whom to probe: all in turn, in an order drawn anew.
+        """Return the next member to probe: round-robin, reshuffled each time.
 
-        The dead are probed too, so that both sides of a healed cut meet.
+        Dead members are probed too, so that both sides find each other
+        again after a network partition.
         """
         while True:
-            if not self.round:
-                self.round = list(self.members)
-                self.rng.shuffle(self.round)
-            if not self.round:
+            if not self.probe_order:
+                self.probe_order = list(self.members)
+                self.rng.shuffle(self.probe_order)
+            if not self.probe_order:
                 return None
-            member = self.members.get(self.round.pop())
+            member = self.members.get(self.probe_order.pop())
             if member is not None:
                 return member.instance
 
     def helpers(self, target: str) -> list[ports.Instance]:
-        """Return others who are to probe a silent target."""
-        able = [
+        """Return the members that probe an unresponsive target indirectly."""
+        alive = [
             member.instance
             for name, member in self.members.items()
             if name != target and member.status is Status.ALIVE
         ]
-        return self.rng.sample(able, min(HELPERS, len(able)))
+        return self.rng.sample(alive, min(INDIRECT_PROBES, len(alive)))
 
     def answered(self, name: str, now: float) -> None:
-        """Learn that an entry answered a probe itself."""
+        """Record that an entry answered a direct probe."""
         member = self.members.get(name)
         if member is not None and member.status is Status.SUSPECT:
-            # Only the suspect's own word, with a higher incarnation, ends
-            # the suspicion elsewhere; here its answer is enough.
-            self._set(name, member, member.incarnation, Status.ALIVE, now)
+            # Other entries drop the suspicion only on an update with a
+            # higher incarnation from the suspected member itself.
+            self._set_status(
+                name, member, member.incarnation, Status.ALIVE, now
+            )
 
     def silent(self, name: str, now: float) -> None:
-        """Learn that an entry answered neither us nor the helpers."""
+        """Record that an entry answered no direct or indirect probe."""
         member = self.members.get(name)
         if member is not None and member.status is Status.ALIVE:
-            self._set(name, member, member.incarnation, Status.SUSPECT, now)
+            self._set_status(
+                name, member, member.incarnation, Status.SUSPECT, now
+            )
 
     def tick(self, now: float) -> None:
-        """Take suspects for dead whose time is over."""
+        """Declare members dead whose suspicion has timed out."""
         for name, member in self.members.items():
             if (
                 member.status is Status.SUSPECT
-                and now >= member.since + SUSPICION_S
+                and now >= member.status_since + SUSPICION_TIMEOUT_S
             ):
-                self._set(name, member, member.incarnation, Status.DEAD, now)
+                self._set_status(
+                    name, member, member.incarnation, Status.DEAD, now
+                )
 
     def hear(
-        self, news: cabc.Iterable[messages.MemberNews], now: float
+        self, updates: cabc.Iterable[messages.MemberNews], now: float
     ) -> None:
-        """Take in news; a higher incarnation wins, then the graver word."""
-        for item in news:
+        """Apply updates: the higher incarnation wins, then the severity."""
+        for item in updates:
             status = Status(item.status)
             if item.name == self.name:
                 self._refute(item, status)
@@ -154,43 +166,47 @@
             member = self.members.get(item.name)
             if member is None:
                 continue
-            newer = (item.incarnation, _RANK[status]) > (
+            newer = (item.incarnation, _SEVERITY[status]) > (
                 member.incarnation,
-                _RANK[member.status],
+                _SEVERITY[member.status],
             )
             if newer:
-                self._set(item.name, member, item.incarnation, status, now)
+                self._set_status(
+                    item.name, member, item.incarnation, status, now
+                )
 
     def tell(self) -> list[messages.MemberNews]:
-        """Return news for one message; the own word always goes along."""
-        told = [self._own()]
-        fresh = sorted(
-            self.news.items(), key=lambda pair: pair[1].left, reverse=True
+        """Return the updates for one message, this entry's status first."""
+        outgoing = [self._own_update()]
+        queued = sorted(
+            self.update_queue.items(),
+            key=lambda pair: pair[1].remaining_sends,
+            reverse=True,
         )
-        for name, news in fresh[:NEWS_PER_MESSAGE]:
-            told.append(news.item)
-            news.left -= 1
-            if news.left <= 0:
-                del self.news[name]
-        return told
+        for name, update in queued[:UPDATES_PER_MESSAGE]:
+            outgoing.append(update.item)
+            update.remaining_sends -= 1
+            if update.remaining_sends <= 0:
+                del self.update_queue[name]
+        return outgoing
 
     def leave(self) -> messages.MemberNews:
-        """Say that this entry takes nothing new, and return the news."""
+        """Mark this entry as leaving and return the update to send."""
         self.incarnation += 1
         self.status = Status.LEAVING
-        return self._own()
+        return self._own_update()
 
-    def _own(self) -> messages.MemberNews:
+    def _own_update(self) -> messages.MemberNews:
         return messages.MemberNews(
             self.name, self.incarnation, self.status.value
         )
 
     def _refute(self, item: messages.MemberNews, status: Status) -> None:
-        wrong = status is not self.status
-        if wrong and item.incarnation >= self.incarnation:
+        incorrect = status is not self.status
+        if incorrect and item.incarnation >= self.incarnation:
             self.incarnation = item.incarnation + 1
 
-    def _set(
+    def _set_status(
         self,
         name: str,
         member: _Member,
@@ -200,7 +216,7 @@
     ) -> None:
         member.incarnation = incarnation
         member.status = status
-        member.since = now
-        times = SPREAD_FACTOR * math.ceil(math.log2(len(self.members) + 2))
+        member.status_since = now
+        sends = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self.members) + 2))
         item = messages.MemberNews(name, incarnation, status.value)
-        self.news[name] = _News(item, times)
+        self.update_queue[name] = _QueuedUpdate(item, sends)
--- a/src/bulrushhold/decisions/_quota.py
+++ b/src/bulrushhold/decisions/_quota.py
@@ -1,10 +1,10 @@
-"""Limits of a row shared by all entries: short leases from a home.
+"""Distributed rate and concurrency limits with short leases.
 
-Each row has one home among the entries (rendezvous hash). The home splits
-most of the row's limits into leases; the rest is split evenly among all
-entries beforehand, as a floor that needs no home. Leases that may still be
-in use are never granted again, so that the sum over the entries doesn't pass
-the table, also when a holder is frozen or a home is replaced.
+The limits of a table row are divided among the entries. A fixed share is
+split evenly as a floor that needs no coordination; the rest is granted in
+leases by the row's home entry (rendezvous hashing). A lease is never granted
+again before it expires, so that the sum over all entries stays within the
+row's limits even when a holder is suspended or the home is replaced.
 """
 
 import math
@@ -16,52 +16,54 @@
 
 LEASE_S: t.Final = 2.0
 RENEW_S: t.Final = 1.0
+# Fraction of each limit that is split evenly without leases.
 FLOOR_SHARE: t.Final = 0.1
 BURST_S: t.Final = 1.0
+# Headroom for growth until the next renewal.
 NEED_FACTOR: t.Final = 1.5
 
 
 @attrs.define
 class _Holder:
-    """One entry's lease, as the home knows it.
+    """An entry's lease as recorded by the home.
 
-    :param want: its claim to a part.
-    :param slots: requests at once that it may run, or runs still.
+    :param want: demand that determines the entry's share.
+    :param slots: concurrent requests that it may run or is still running.
     """
 
     want: float
     rate: float = 0.0
     slots: int = 0
-    until: float = 0.0
+    expires_at: float = 0.0
 
 
 class QuotaHome:
-    """Grants leases for the rows whose home this entry is.
+    """Grants leases for the rows that have this entry as their home.
 
     :param now: monotonic seconds.
     """
 
     def __init__(self, now: float) -> None:
         self.rows: dict[str, dict[str, _Holder]] = {}
-        self.open_at = now + LEASE_S
+        self.grants_allowed_at = now + LEASE_S
 
     def homes_changed(self, now: float) -> None:
-        """Learn that rows may have come here from other homes."""
-        self.open_at = now + LEASE_S
+        """Delay first grants after rows may have moved from other homes."""
+        self.grants_allowed_at = now + LEASE_S
 
     def grant(
         self, ask: messages.QuotaAsk, row: messages.Row, now: float
     ) -> messages.QuotaGrant:
-        """Grant a lease within what no other lease may still use.
+        """Grant a lease from what isn't held by other leases.
 
-        A row that is new here, soon after the entries have changed, may
-        have had another home, whose leases are still in use: the wait of
-        one lease time outlasts all of them.
+        A row seen for the first time shortly after the entries changed may
+        have leases from its previous home. Nothing is granted for it until
+        all of those have expired.
         """
-        known = ask.row in self.rows
+        has_leases = ask.row in self.rows
         holders = self.rows.setdefault(ask.row, {})
         self._expire(holders, now)
-        if not known and now < self.open_at:
+        if not has_leases and now < self.grants_allowed_at:
             del self.rows[ask.row]
             return messages.QuotaGrant(0.0, 0, LEASE_S)
         holder = holders.setdefault(ask.holder, _Holder(ask.want))
@@ -73,21 +75,21 @@
         holder.rate = max(0.0, min(rate_limit * share, free_rate))
         slot_limit = leased_slots(row, ask.entries)
         free_slots = slot_limit - sum(h.slots for h in others)
-        # What isn't needed stays free for whoever comes next.
+        # Slots beyond the holder's need stay available to other holders.
         slots = min(max(1, round(slot_limit * share)), free_slots, ask.need)
         slots = max(0, slots)
-        # What runs there already counts until it ends, but the holder is
-        # not to start anything in its place.
+        # Running requests count against the limit until they end, although
+        # the holder may not replace them.
         holder.slots = max(slots, ask.running)
-        holder.until = now + LEASE_S
+        holder.expires_at = now + LEASE_S
         return messages.QuotaGrant(holder.rate, slots, LEASE_S)
 
     def _expire(self, holders: dict[str, _Holder], now: float) -> None:
-        for name in [n for n, h in holders.items() if now >= h.until]:
+        for name in [n for n, h in holders.items() if now >= h.expires_at]:
             del holders[name]
 
     def forget(self, now: float) -> None:
-        """Drop the rows without leases."""
+        """Drop expired leases and the rows without any."""
         for key, holders in list(self.rows.items()):
             self._expire(holders, now)
             if not holders:
@@ -95,23 +97,23 @@
 
 
 def floor_slots(row: messages.Row, entries: int) -> int:
-    """Return the requests at once that every entry may always run."""
+    """Return the concurrent requests that each entry may always run."""
     return math.floor(row.concurrency * FLOOR_SHARE / max(1, entries))
 
 
 def leased_slots(row: messages.Row, entries: int) -> int:
-    """Return the requests at once that the home may split up."""
+    """Return the concurrent requests that the home may lease."""
     return row.concurrency - floor_slots(row, entries) * entries
 
 
 @attrs.define
 class QuotaShare:
-    """This entry's share of one row's limits: floor and lease.
+    """This entry's share of a row's limits: floor plus lease.
 
-    :param granted_from: when the ask for the lease left, in monotonic
-        seconds; the lease is counted from there, as the home counts it
-        from later.
-    :param tokens: what may still be spent; below 0 it is a debt.
+    :param lease_start: monotonic seconds at which the lease was requested.
+        The lease runs from there, so it ends before the home's record.
+    :param tokens: level of the token bucket; negative after a request used
+        more than expected.
     """
 
     row: messages.Row
@@ -126,57 +128,57 @@
     used_at: float = 0.0
 
     def take_grant(self, grant: messages.QuotaGrant, sent: float) -> None:
-        """Take in a lease that was asked for at ``sent``."""
-        self._fill(sent)
+        """Apply a lease that was requested at ``sent``."""
+        self._refill(sent)
         self.rate = grant.rate
         self.slots = grant.slots
         self.granted_from = sent
 
     def allows(self, now: float) -> bool:
-        """Whether one more request may start now."""
-        self._fill(now)
-        if self.row.concurrency and self.running >= self._slots(now):
+        """Whether another request may start now."""
+        self._refill(now)
+        if self.row.concurrency and self.running >= self._slot_limit(now):
             return False
         return not self.row.token_rate or self.tokens > 0
 
     def start(self, expected: float, now: float) -> None:
-        """Count a request that starts, with its expected tokens."""
-        self._fill(now)
+        """Record the start of a request and deduct its expected tokens."""
+        self._refill(now)
         self.running += 1
         self.used_at = now
         self.tokens -= expected
 
     def finish(self, expected: float, actual: float, now: float) -> None:
-        """Count its end, and settle what was expected."""
-        self._fill(now)
+        """Record the end of a request and settle its actual tokens."""
+        self._refill(now)
         self.running -= 1
         self.used_at = now
         self.tokens += expected - actual
 
     def retry_after(self, now: float) -> float:
-        """Return seconds until tokens are there again."""
-        self._fill(now)
+        """Return seconds until tokens are available again."""
+        self._refill(now)
         if self.row.token_rate and self.tokens <= 0:
-            rate = max(self._rate(now), self.row.token_rate * 0.01)
+            rate = max(self._rate_limit(now), self.row.token_rate * 0.01)
             return max(1.0, -self.tokens / rate)
         return LEASE_S
 
     @property
     def need(self) -> int:
-        """Requests at once that could be used before the next renewal."""
+        """Concurrent requests that may be needed before the next renewal."""
         return math.ceil(NEED_FACTOR * (self.running + self.waiting)) + 2
 
     def slots_now(self, now: float) -> int:
-        """Return the requests at once that may run now."""
-        return self._slots(now)
+        """Return the concurrent requests allowed now."""
+        return self._slot_limit(now)
 
     def leased(self, now: float) -> bool:
-        """Whether a lease with any slots is in force."""
-        return self.slots > 0 and self._leased(now)
+        """Whether an unexpired lease with slots is held."""
+        return self.slots > 0 and self._lease_active(now)
 
     @property
     def running_on_lease(self) -> int:
-        """Requests at once beyond the floor."""
+        """Concurrent requests beyond the floor."""
         return max(0, self.running - floor_slots(self.row, self.entries))
 
     @property
@@ -184,21 +186,21 @@
         """Whether the row has any limit."""
         return bool(self.row.concurrency or self.row.token_rate)
 
-    def _leased(self, now: float) -> bool:
+    def _lease_active(self, now: float) -> bool:
         return now < self.granted_from + LEASE_S
 
-    def _rate(self, now: float) -> float:
+    def _rate_limit(self, now: float) -> float:
         floor = self.row.token_rate * FLOOR_SHARE / max(1, self.entries)
-        return floor + (self.rate if self._leased(now) else 0.0)
+        return floor + (self.rate if self._lease_active(now) else 0.0)
 
-    def _slots(self, now: float) -> int:
+    def _slot_limit(self, now: float) -> int:
         floor = floor_slots(self.row, self.entries)
-        return floor + (self.slots if self._leased(now) else 0)
+        return floor + (self.slots if self._lease_active(now) else 0)
 
-    def _fill(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         if now <= self.filled_at:
             return
-        rate = self._rate(now)
-        earned = rate * min(now - self.filled_at, BURST_S)
-        self.tokens = min(self.tokens + earned, max(1.0, rate * BURST_S))
+        rate = self._rate_limit(now)
+        refill = rate * min(now - self.filled_at, BURST_S)
+        self.tokens = min(self.tokens + refill, max(1.0, rate * BURST_S))
         self.filled_at = now
--- a/src/bulrushhold/decisions/_replica.py
+++ b/src/bulrushhold/decisions/_replica.py
@@ -1,10 +1,10 @@
-"""One replica of the replicated log, as pure decisions.
+"""Raft replica without I/O.
 
-After Raft (Ongaro and Ousterhout, 2014) with pre-vote, quorum check,
-leader lease and one membership change at a time (Ongaro's thesis,
-chapters 4, 6 and 9). Messages and ticks go in; what must be saved, sent
-and applied comes out of :meth:`Replica.take_ready`. The driver saves
-before it sends.
+Implements Raft (Ongaro and Ousterhout, 2014) with pre-vote, check quorum,
+leader leases and single-server membership changes (Ongaro's thesis,
+chapters 4, 6 and 9). The driver passes in messages and ticks, and takes what
+to save, send and apply from :meth:`Replica.take_ready`. It must save before
+it sends.
 """
 
 import random
@@ -18,16 +18,17 @@
 from bulrushhold import messages
 
 MAX_ENTRIES_PER_APPEND: t.Final = 512
-# Whole route maps go through the log: a follower that is far behind gets
-# them in parts that a link of 100 Mbit/s carries within one beat.
+# Log entries can hold whole route maps. The limit keeps one append to a
+# lagging follower within a heartbeat interval on a 100 Mbit/s link.
 MAX_BYTES_PER_APPEND: t.Final = 1 << 20
 
 
 class Replica:
-    """The decisions of one replica.
+    """Raft state machine of one replica.
 
-    :param ident: this replica's identity; a lost disk means a new one.
-    :param durable: what was read from the data folder.
+    :param ident: identity of the replica; a replica that lost its disk must
+        use a new one.
+    :param durable: persisted state read at start-up.
     :param now: monotonic seconds.
     """
 
@@ -55,13 +56,13 @@
         self.leader = ''
         self.votes: set[str] = set()
         self.progress: dict[str, _roles.Progress] = {}
-        self.beat = 0
-        self.beat_times: dict[int, float] = {}
-        self.next_beat = 0.0
-        # A restart forgets which beats were acknowledged. Voting at once
-        # could elect a second leader within the first one's lease, so a
-        # started replica keeps silent as if it had just heard a leader.
-        self.heard_at = now
+        self.heartbeat_number = 0
+        self.heartbeat_sent_at: dict[int, float] = {}
+        self.next_heartbeat_at = 0.0
+        # A restart loses the record of acknowledged heartbeats. Voting right
+        # away could elect a second leader during the lease of the first, so
+        # a replica starts as if it had just had contact with a leader.
+        self.leader_contact_at = now
         self.started_at = now
         self.term_leader = self.log.leader_of(self.term)
         self.election_at = 0.0
@@ -70,43 +71,47 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry, saved or not."""
+        """Index of the last entry, whether persisted or not."""
         return self.log.last_index
 
     @property
     def config(self) -> messages.Config:
-        """The members, as the newest entry that names them has it."""
+        """Members according to the latest configuration in the log."""
         return self.log.config
 
     @property
     def commits_in_term(self) -> bool:
-        """Whether this replica leads and has committed in its term."""
+        """Whether this leader has committed an entry of its own term."""
         return (
             self.role is _roles.Role.LEADER
             and self.log.term_of(self.commit) == self.term
         )
 
     def lease_holds(self, now: float) -> bool:
-        """Whether no other leader can exist at ``now``.
+        """Whether the leader lease is valid, so no other leader can exist.
 
-        Call it with a clock read after any wait: a process frozen between
-        the check and the use would otherwise act on a lease gone by.
+        Pass a clock reading taken after the last wait; otherwise a process
+        that was suspended in between could act on an expired lease.
         """
-        until = self._quorum_beat() + self.timing.lease_s
-        return self.commits_in_term and now < until
+        lease_end = self._quorum_acked_at() + self.timing.lease_s
+        return self.commits_in_term and now < lease_end
 
     def silent_for(self, now: float) -> float:
-        """Return seconds since a leader was last heard; 0 as leader."""
-        return 0.0 if self.role is _roles.Role.LEADER else now - self.heard_at
+        """Return seconds since the last contact with a leader; 0 as leader."""
+        return (
+            0.0
+            if self.role is _roles.Role.LEADER
+            else now - self.leader_contact_at
+        )
 
     def leader_address(self) -> str:
-        """Address of the leader, or ``''`` where unknown."""
+        """Return the address of the leader, or ``''`` if unknown."""
         return self.config.voters.get(self.leader, '')
 
     def propose(self, data: bytes) -> tuple[int, int] | None:
-        """Append a command as leader; return its index and term.
+        """Append a command as leader and return its index and term.
 
-        ``None`` where this replica isn't the leader: nothing happened.
+        Returns ``None`` and does nothing if this replica isn't the leader.
         """
         if self.role is not _roles.Role.LEADER:
             return None
@@ -114,10 +119,11 @@
         return self.last_index, self.term
 
     def change_config(self, config: messages.Config) -> bool:
-        """Start a membership change, unless one is under way.
+        """Start a membership change; return whether it was started.
 
-        Only one at a time, and only after an entry of this term is
-        committed; else two majorities that share no replica could form.
+        Refused while another change is uncommitted and before an entry of
+        the current term is committed. Otherwise two disjoint majorities
+        could form.
         """
         if not self.commits_in_term or self.log.config_index > self.commit:
             return False
@@ -125,25 +131,27 @@
         return True
 
     def tick(self, now: float) -> None:
-        """Let time pass: beats, elections, and the leader's own check."""
+        """Handle timers: heartbeats, elections and the quorum check."""
         if self.role is _roles.Role.LEADER:
-            if now >= self.next_beat:
+            if now >= self.next_heartbeat_at:
                 self._broadcast(now)
-            if now > self._quorum_beat() + self.timing.election_s:
+            if now > self._quorum_acked_at() + self.timing.election_s:
                 self._become_follower(self.term, '', now)
         elif now >= self.election_at:
             if self.ident in self.config.voters:
-                self._start_vote(now, pre=True)
+                self._start_election(now, pre=True)
             else:
                 self._reset_election(now)
 
     def wake_in(self, now: float) -> float:
-        """Return seconds until :meth:`tick` has something to do."""
-        leads = self.role is _roles.Role.LEADER
-        return (self.next_beat if leads else self.election_at) - now
+        """Return seconds until the next timer that :meth:`tick` handles."""
+        is_leader = self.role is _roles.Role.LEADER
+        return (
+            self.next_heartbeat_at if is_leader else self.election_at
+        ) - now
 
     def receive(self, message: messages.Message, now: float) -> None:
-        """Take one message from another replica."""
+        """Handle a message from another replica."""
         if isinstance(message, messages.VoteRequest):
             self._on_vote_request(message, now)
         elif isinstance(message, messages.VoteReply):
@@ -156,17 +164,19 @@
             self._on_snapshot(message, now)
 
     def flush(self, now: float) -> None:
-        """As leader, send appended entries without waiting for a beat."""
+        """Send new entries as leader without waiting for a heartbeat."""
         if self.role is _roles.Role.LEADER and any(
             p.next <= self.last_index for p in self.progress.values()
         ):
             self._broadcast(now)
 
     def take_ready(self) -> _roles.Ready:
-        """Return what there is to do; the driver then calls `saved_up_to`.
+        """Return the pending work of the driver.
 
-        :returns: entries to save, messages to send once they are saved,
-            and committed entries to apply.
+        The driver calls ``mark_saved`` once the entries are synced.
+
+        :returns: entries to save, messages to send after that, and committed
+            entries to apply.
         """
         ready = self._ready
         ready.term, ready.vote = self.term, self.vote
@@ -179,18 +189,18 @@
         return ready
 
     def saved_up_to(self, index: int) -> None:
-        """Learn from the driver that all entries up to it are synced."""
+        """Record that all entries up to ``index`` are synced to disk."""
         self.saved = min(index, self.last_index)
         if self.role is _roles.Role.LEADER:
             self._advance_commit()
 
     def compact(self, index: int, state: bytes) -> messages.InstallSnapshot:
-        """Drop the entries up to ``index`` in favour of a snapshot."""
+        """Replace the entries up to ``index`` by a snapshot."""
         return self.log.compact(index, self.term, self.ident, state)
 
     # Elections
 
-    def _start_vote(self, now: float, *, pre: bool) -> None:
+    def _start_election(self, now: float, *, pre: bool) -> None:
         self._reset_election(now)
         self.leader = ''
         if pre:
@@ -209,22 +219,21 @@
             self.log.term_of(self.last_index),
             pre,
         )
-        for peer in self._others():
+        for peer in self._peers():
             self._send(peer, request)
         self._count_votes(now)
 
     def _on_vote_request(
         self, request: messages.VoteRequest, now: float
     ) -> None:
-        # While a leader is heard no vote is given and no term taken over.
-        # A replica that was cut off can so neither unseat a working leader
-        # nor break the lease that the leader relies on. The leader of this
-        # term itself no longer leads if it asks, and no other one was heard
-        # in this term: after a loss of all power there is a leader again as
-        # soon as a majority runs, 0.6 s sooner than by waiting for silence.
-        led = now < self.heard_at + self.timing.election_s
-        led = led and request.candidate != self.term_leader
-        if led or self.lease_holds(now) or request.term < self.term:
+        # During an election timeout after contact with a leader, grant no
+        # vote and adopt no term, so that a partitioned replica can't depose
+        # a working leader or break its lease. A request from the leader of
+        # this term shows that it no longer leads: consider it right away, so
+        # that a cluster recovers quickly after all replicas restart.
+        leader_active = now < self.leader_contact_at + self.timing.election_s
+        leader_active = leader_active and request.candidate != self.term_leader
+        if leader_active or self.lease_holds(now) or request.term < self.term:
             self._reply_vote(request, granted=False)
             return
         if not request.pre and request.term > self.term:
@@ -233,8 +242,8 @@
             self.log.term_of(self.last_index),
             self.last_index,
         )
-        free = request.pre or self.vote in ('', request.candidate)
-        granted = up_to_date and free
+        vote_available = request.pre or self.vote in ('', request.candidate)
+        granted = up_to_date and vote_available
         if granted and not request.pre:
             self.vote = request.candidate
             self._ready.must_save = True
@@ -258,12 +267,12 @@
         if not reply.granted:
             return
         if reply.pre:
-            due = self.role is _roles.Role.PRE_CANDIDATE
-            current = reply.asked == self.term + 1
+            role_matches = self.role is _roles.Role.PRE_CANDIDATE
+            term_matches = reply.asked == self.term + 1
         else:
-            due = self.role is _roles.Role.CANDIDATE
-            current = reply.asked == self.term
-        if due and current:
+            role_matches = self.role is _roles.Role.CANDIDATE
+            term_matches = reply.asked == self.term
+        if role_matches and term_matches:
             self.votes.add(reply.voter)
             self._count_votes(now)
 
@@ -272,7 +281,7 @@
         if len(self.votes & voters.keys()) <= len(voters) // 2:
             return
         if self.role is _roles.Role.PRE_CANDIDATE:
-            self._start_vote(now, pre=False)
+            self._start_election(now, pre=False)
         elif self.role is _roles.Role.CANDIDATE:
             self._become_leader(now)
 
@@ -281,14 +290,14 @@
         self.leader = self.ident
         self.progress = {
             peer: _roles.Progress(next=self.last_index + 1)
-            for peer in self._others()
+            for peer in self._peers()
         }
-        self.beat_times = {}
-        # The lease starts with nothing; the quorum check gets one round.
+        self.heartbeat_sent_at = {}
+        # There is no lease yet, but the quorum check allows one round.
         for progress in self.progress.values():
             progress.acked_at = now - self.timing.lease_s
-        # Entries of former terms count as committed only through one of
-        # this term (Raft, section 5.4.2).
+        # Entries of earlier terms are committed only together with an entry
+        # of the current term (Raft, section 5.4.2).
         self.term_leader = self.ident
         self._append(messages.KIND_NOOP, self.ident.encode())
         self._broadcast(now)
@@ -304,19 +313,20 @@
         self._reset_election(now)
 
     def _reset_election(self, now: float) -> None:
-        least = self.timing.election_s
-        if self._resumes_lead(now):
+        min_timeout = self.timing.election_s
+        if self._resumes_leadership(now):
             self.election_at = now + self.timing.heartbeat_s
             return
-        self.election_at = now + least * (1 + self.rng.random())
+        self.election_at = now + min_timeout * (1 + self.rng.random())
 
-    def _resumes_lead(self, now: float) -> bool:
-        """Whether this replica has just restarted, and led this term.
+    def _resumes_leadership(self, now: float) -> bool:
+        """Whether this replica restarted recently and led its last term.
 
-        It owes silence to nobody, and asks until the others are back.
+        No other leader can hold a lease in that term, so it may start an
+        election without waiting for the election timeout.
         """
-        young = now - self.started_at < 2 * self.timing.election_s
-        return young and self.term_leader == self.ident
+        recently_started = now - self.started_at < 2 * self.timing.election_s
+        return recently_started and self.term_leader == self.ident
 
     # Replication
 
@@ -329,21 +339,23 @@
             self._track_members()
 
     def _track_members(self) -> None:
-        others = self._others()
-        for peer in others:
+        peers = self._peers()
+        for peer in peers:
             self.progress.setdefault(
                 peer, _roles.Progress(next=self.last_index)
             )
-        for peer in set(self.progress) - set(others):
+        for peer in set(self.progress) - set(peers):
             del self.progress[peer]
 
     def _broadcast(self, now: float) -> None:
-        self.beat += 1
-        self.beat_times[self.beat] = now
-        self.next_beat = now + self.timing.heartbeat_s
+        self.heartbeat_number += 1
+        self.heartbeat_sent_at[self.heartbeat_number] = now
+        self.next_heartbeat_at = now + self.timing.heartbeat_s
         oldest = now - 2 * self.timing.election_s
-        for beat in [b for b, at in self.beat_times.items() if at < oldest]:
-            del self.beat_times[beat]
+        for beat in [
+            b for b, at in self.heartbeat_sent_at.items() if at < oldest
+        ]:
+            del self.heartbeat_sent_at[beat]
         for peer in self.progress:
             self._send_append(peer)
 
@@ -357,7 +369,7 @@
                     self.log.snapshot,
                     term=self.term,
                     leader=self.ident,
-                    beat=self.beat,
+                    beat=self.heartbeat_number,
                 ),
             )
             progress.next = self.log.snapshot.index + 1
@@ -374,18 +386,18 @@
                 self.log.term_of(previous),
                 entries,
                 self.commit,
-                self.beat,
+                self.heartbeat_number,
             ),
         )
-        # Optimistic: the next append goes on from here. A reply that says
-        # otherwise, or a lost message seen at the next beat, sets it back.
+        # Advance optimistically. A rejection, or a loss detected at the next
+        # heartbeat, moves it back.
         progress.next += len(entries)
 
     def _on_append(self, request: messages.AppendRequest, now: float) -> None:
         if request.term < self.term:
             self._reply_append(request, success=False, match=self.last_index)
             return
-        self._follow(request.term, request.leader, now)
+        self._accept_leader(request.term, request.leader, now)
         if request.prev_index < self.log.snapshot.index:
             self._reply_append(request, success=False, match=self.commit)
             return
@@ -398,12 +410,12 @@
                 request, success=False, match=max(hint, self.commit)
             )
             return
-        self._store(request.entries)
+        self._store_entries(request.entries)
         match = request.prev_index + len(request.entries)
         self.commit = max(self.commit, min(request.commit, match))
         self._reply_append(request, success=True, match=match)
 
-    def _store(self, entries: list[messages.LogEntry]) -> None:
+    def _store_entries(self, entries: list[messages.LogEntry]) -> None:
         for entry in entries:
             if entry.index <= self.last_index:
                 if self.log.term_of(entry.index) == entry.term:
@@ -416,9 +428,9 @@
             if entry.kind == messages.KIND_NOOP and entry.term == self.term:
                 self.term_leader = entry.data.decode()
 
-    def _follow(self, term: int, leader: str, now: float) -> None:
+    def _accept_leader(self, term: int, leader: str, now: float) -> None:
         self._become_follower(term, leader, now)
-        self.heard_at = now
+        self.leader_contact_at = now
 
     def _reply_append(
         self, request: t.Any, *, success: bool, match: int
@@ -443,7 +455,7 @@
             or reply.term < self.term
         ):
             return
-        sent = self.beat_times.get(reply.beat)
+        sent = self.heartbeat_sent_at.get(reply.beat)
         if sent is not None:
             progress.acked_at = max(progress.acked_at, sent)
         if not reply.success:
@@ -456,8 +468,11 @@
             progress.match = reply.match
             self._advance_commit()
         progress.next = max(progress.next, progress.match + 1)
-        if reply.beat == self.beat and progress.match + 1 < progress.next:
-            # An append before the newest beat was lost: send it again.
+        if (
+            reply.beat == self.heartbeat_number
+            and progress.match + 1 < progress.next
+        ):
+            # An append before the latest heartbeat was lost: resend it.
             progress.next = progress.match + 1
 
     def _advance_commit(self) -> None:
@@ -477,8 +492,8 @@
         progress = self.progress.get(peer)
         return progress.match if progress else 0
 
-    def _quorum_beat(self) -> float:
-        """Return when the newest beat a majority has answered left."""
+    def _quorum_acked_at(self) -> float:
+        """Return the send time of the latest heartbeat acked by a quorum."""
         voters = self.config.voters
         times = sorted(
             (
@@ -499,7 +514,7 @@
         if request.term < self.term:
             self._reply_append(request, success=False, match=self.last_index)
             return
-        self._follow(request.term, request.leader, now)
+        self._accept_leader(request.term, request.leader, now)
         if request.index > self.commit:
             self.log.replace(request)
             self.commit = self.applied = self.saved = request.index
@@ -508,7 +523,7 @@
             self._ready.must_save = True
         self._reply_append(request, success=True, match=request.index)
 
-    def _others(self) -> list[str]:
+    def _peers(self) -> list[str]:
         config = self.config
         members = {**config.learners, **config.voters}
         return [peer for peer in members if peer != self.ident]
--- a/src/bulrushhold/decisions/_statemachine.py
+++ b/src/bulrushhold/decisions/_statemachine.py
@@ -1,4 +1,4 @@
-"""The replicated state: table, claims and quarantine, from commands."""
+"""Replicated state machine: table, claims, quarantine and route map."""
 
 import typing as t
 
@@ -9,15 +9,17 @@
 from bulrushhold.decisions import _table
 from bulrushhold import messages
 
-SUSPECTS_KEPT: t.Final = 500
+MAX_SUSPECTS: t.Final = 500
 
 
 @attrs.define
 class ReplicatedState:
-    """What every replica holds after the same commands.
+    """State built by applying the committed commands in order.
 
-    :param quarantined: request fingerprint to why it is refused.
-    :param suspects: request fingerprint to the deaths it was present at.
+    :param quarantined: request fingerprint to the reason for quarantine.
+    :param suspects: fingerprint of a possible poison request to the number
+        of engine crashes that it was running in.
+    :param refusals_revision: incremented when either of the two changes.
     """
 
     table: _table.TableState = attrs.field(factory=_table.TableState)
@@ -28,10 +30,10 @@
     route_map: messages.RouteMapPut | None = None
 
     def apply(self, command: bytes) -> bytes:
-        """Apply one committed command; return its encoded result.
+        """Apply one committed command and return its encoded result.
 
-        A command that can't be read changes nothing. Raising instead
-        would stop every replica at the same entry, again and again.
+        An unknown command changes nothing. Raising instead would stop every
+        replica at the same log entry after each restart.
         """
         message = messages.decode(command)
         if isinstance(message, messages.TableEdit):
@@ -47,61 +49,60 @@
             self._quarantine(message)
             return b''
         if isinstance(message, messages.Suspected):
-            self._suspect(message)
+            self._record_suspects(message)
             return b''
         if isinstance(message, messages.RouteMapPut):
-            return messages.encode(self._put_map(message))
+            return messages.encode(self._put_route_map(message))
         return messages.encode(messages.Failure('not a command'))
 
     @property
     def map_version(self) -> int:
-        """Version of the route map in force; 0 where there is none."""
+        """Version of the current route map; 0 if there is none."""
         return self.route_map.version if self.route_map else 0
 
-    def _put_map(
-        self, order: messages.RouteMapPut
+    def _put_route_map(
+        self, command: messages.RouteMapPut
     ) -> messages.RouteMapOutcome:
-        # An equal version keeps what is held: an operator that resends after
-        # a lost answer, or races another one, must not change what some
-        # entries already obey under that number.
-        if order.version > self.map_version:
-            self.route_map = order
+        # Ignore an equal version: a resent or concurrent upload must not
+        # change the map that entries already use under that version.
+        if command.version > self.map_version:
+            self.route_map = command
         return messages.RouteMapOutcome(self.map_version)
 
-    def _quarantine(self, order: messages.Quarantine) -> None:
-        if order.lift:
-            self.quarantined.pop(order.fingerprint, None)
-            self.suspects.pop(order.fingerprint, None)
+    def _quarantine(self, command: messages.Quarantine) -> None:
+        if command.lift:
+            self.quarantined.pop(command.fingerprint, None)
+            self.suspects.pop(command.fingerprint, None)
         else:
-            self.quarantined[order.fingerprint] = order.reason
+            self.quarantined[command.fingerprint] = command.reason
         self.refusals_revision += 1
 
-    def _suspect(self, order: messages.Suspected) -> None:
-        """Remember the contents, so that every entry treats them alike.
+    def _record_suspects(self, command: messages.Suspected) -> None:
+        """Count an engine crash for each possible poison request.
 
-        A caller whose request killed one engine may send it again through
-        another entry; without this, that entry would count from nothing.
+        The count is replicated, so that a request resent through another
+        entry doesn't start from zero there.
         """
-        for fingerprint in order.fingerprints:
-            deaths = self.suspects.pop(fingerprint, 0)
-            self.suspects[fingerprint] = deaths + 1
-        while len(self.suspects) > SUSPECTS_KEPT:
+        for fingerprint in command.fingerprints:
+            crashes = self.suspects.pop(fingerprint, 0)
+            self.suspects[fingerprint] = crashes + 1
+        while len(self.suspects) > MAX_SUSPECTS:
             del self.suspects[next(iter(self.suspects))]
         self.refusals_revision += 1
 
     def refusals(self) -> messages.Refusals:
-        """Return what entries need of quarantine and suspects."""
+        """Return the fingerprints that entries must refuse or isolate."""
         return messages.Refusals(
             sorted(self.quarantined), sorted(self.suspects)
         )
 
     def dump(self) -> bytes:
-        """Return the whole state, for a snapshot."""
+        """Return the encoded state for a snapshot."""
         return msgspec.msgpack.encode(self)
 
     @classmethod
     def restore(cls, data: bytes) -> 'ReplicatedState':
-        """Return the state that :meth:`dump` wrote; empty from ``b''``."""
+        """Decode the output of :meth:`dump`; ``b''`` gives an empty state."""
         if not data:
             return cls()
         return msgspec.msgpack.decode(data, type=cls)
--- a/src/bulrushhold/decisions/_table.py
+++ b/src/bulrushhold/decisions/_table.py
@@ -1,4 +1,4 @@
-"""The operators' table: rows, revisions, edits and their history."""
+"""The operators' table of limits: rows, revisions and edit history."""
 
 import typing as t
 
@@ -11,13 +11,13 @@
 VALUE_COLUMNS: t.Final = tuple(
     name for name in COLUMNS if name not in KEY_COLUMNS
 )
-HISTORY_LIMIT: t.Final = 20_000
-EDIT_IDS_KEPT: t.Final = 20_000
+MAX_HISTORY_ITEMS: t.Final = 20_000
+MAX_EDIT_IDS: t.Final = 20_000
 
 
 @attrs.define
 class Version:
-    """A row as of a revision; ``row`` is ``None`` where it was removed."""
+    """A row as of a revision; ``row`` is ``None`` if it was removed."""
 
     revision: int
     row: messages.Row | None
@@ -25,13 +25,13 @@
 
 @attrs.define
 class TableState:
-    """The table with the versions that three-way edits need.
+    """Table with the row versions that three-way merges need.
 
-    :param versions: per row key its versions, oldest first.
-    :param changed: revision and the keys it changed, oldest first; a poll
-        of an entry that is up to date so costs nothing.
+    :param versions: versions of each row by key, oldest first.
+    :param changed: revisions with the keys they changed, oldest first; makes
+        the poll of an up-to-date entry cheap.
     :param outcomes: edit id to its first outcome, oldest first.
-    :param floor: the oldest revision an edit may be based on.
+    :param floor: oldest revision that an edit may be based on.
     """
 
     revision: int = 0
@@ -42,29 +42,29 @@
     history: list[messages.HistoryItem] = attrs.field(factory=list)
 
     def rows(self, revision: int | None = None) -> list[messages.Row]:
-        """Return the rows in force, or as of a revision, by key."""
+        """Return the rows sorted by key, current or as of a revision."""
         if revision is None:
             revision = self.revision
-        found = (self._at(key, revision) for key in self.versions)
+        found = (self._row_at(key, revision) for key in self.versions)
         return sorted(
             (row for row in found if row is not None),
             key=lambda row: row.key,
         )
 
     def knows(self, revision: int) -> bool:
-        """Whether an edit can be based on a revision."""
+        """Whether an edit may be based on a revision."""
         return self.floor <= revision <= self.revision
 
     def changes_since(
-        self, known: int
+        self, known_revision: int
     ) -> tuple[list[messages.Row], list[str]]:
-        """Return the rows set and the keys removed after ``known``."""
+        """Return the rows set and keys removed after ``known_revision``."""
         keys: dict[str, None] = {}
         for revision, changed in reversed(self.changed):
-            if revision <= known:
+            if revision <= known_revision:
                 break
             keys |= dict.fromkeys(changed)
-        if known < self.floor:
+        if known_revision < self.floor:
             keys = dict.fromkeys(self.versions)
         rows = []
         removed = []
@@ -77,13 +77,13 @@
         return rows, removed
 
     def apply(self, edit: messages.TableEdit) -> messages.EditOutcome:
-        """Take or refuse an edit; a resent one gets its first outcome."""
+        """Apply or reject an edit; a resent edit gets its first outcome."""
         first = self.outcomes.get(edit.edit_id)
         if first is not None:
             return first
         outcome = self._apply_new(edit)
         self.outcomes[edit.edit_id] = outcome
-        while len(self.outcomes) > EDIT_IDS_KEPT:
+        while len(self.outcomes) > MAX_EDIT_IDS:
             del self.outcomes[next(iter(self.outcomes))]
         return outcome
 
@@ -95,14 +95,14 @@
                 reason=f'revision {edit.base} is unknown or too old; '
                 'pull the table again',
             )
-        wanted: dict[str, messages.Row | None] = dict.fromkeys(edit.removed)
-        wanted |= {row.key: row for row in edit.rows}
+        requested: dict[str, messages.Row | None] = dict.fromkeys(edit.removed)
+        requested |= {row.key: row for row in edit.rows}
         changed: dict[str, messages.Row | None] = {}
         conflicts: list[messages.Conflict] = []
-        for key in sorted(wanted):
-            merged, found = self._merge(key, wanted[key], edit.base)
+        for key in sorted(requested):
+            merged, found = self._merge(key, requested[key], edit.base)
             conflicts += found
-            if merged != self._at(key, self.revision):
+            if merged != self._row_at(key, self.revision):
                 changed[key] = merged
         if conflicts:
             return messages.EditOutcome(
@@ -116,28 +116,30 @@
         return messages.EditOutcome(True, self.revision, len(changed))
 
     def _merge(
-        self, key: str, wanted: messages.Row | None, base: int
+        self, key: str, requested: messages.Row | None, base: int
     ) -> tuple[messages.Row | None, list[messages.Conflict]]:
-        """Merge one row: what the operator changed since ``base`` counts.
+        """Merge one row with the changes made since revision ``base``.
 
-        Without the row as of ``base``, a cell that the operator never
-        touched would look like a change and turn another's edit back.
+        Comparing with the row as of ``base`` keeps cells that the operator
+        didn't edit from reverting other operators' changes.
         """
-        before = self._at(key, base)
-        now = self._at(key, self.revision)
-        if wanted == before or wanted == now:
-            return now, []
-        if before == now:
-            return wanted, []
-        if wanted is None or now is None or before is None:
-            return now, [
-                messages.Conflict(key, 'row', _show(now), _show(wanted))
+        before = self._row_at(key, base)
+        current = self._row_at(key, self.revision)
+        if requested == before or requested == current:
+            return current, []
+        if before == current:
+            return requested, []
+        if requested is None or current is None or before is None:
+            return current, [
+                messages.Conflict(
+                    key, 'row', _format_row(current), _format_row(requested)
+                )
             ]
         cells: dict[str, t.Any] = {}
         conflicts = []
         for name in VALUE_COLUMNS:
             old, mine, theirs = (
-                getattr(row, name) for row in (before, wanted, now)
+                getattr(row, name) for row in (before, requested, current)
             )
             if mine not in (old, theirs):
                 cells[name] = mine
@@ -145,7 +147,7 @@
                     conflicts.append(
                         messages.Conflict(key, name, str(theirs), str(mine))
                     )
-        return attrs.evolve(now, **cells), conflicts
+        return attrs.evolve(current, **cells), conflicts
 
     def _commit(
         self,
@@ -153,27 +155,29 @@
         changed: dict[str, messages.Row | None],
     ) -> None:
         self.revision += 1
-        notes = []
+        changes = []
         for key, row in changed.items():
-            notes.append(_note(key, self._at(key, self.revision), row))
+            changes.append(
+                _describe_change(key, self._row_at(key, self.revision), row)
+            )
             versions = self.versions.setdefault(key, [])
             versions.append(Version(self.revision, row))
         self.changed.append((self.revision, list(changed)))
         self.history.append(
-            messages.HistoryItem(self.revision, edit.author, edit.at, notes)
+            messages.HistoryItem(self.revision, edit.author, edit.at, changes)
         )
-        if len(self.history) > HISTORY_LIMIT:
+        if len(self.history) > MAX_HISTORY_ITEMS:
             self.changed.pop(0)
-            self._forget(self.history.pop(0).revision)
+            self._drop_versions(self.history.pop(0).revision)
 
-    def _forget(self, revision: int) -> None:
-        """Drop versions that no edit can be based on any more."""
+    def _drop_versions(self, revision: int) -> None:
+        """Drop the row versions that only older base revisions need."""
         self.floor = revision
         for versions in self.versions.values():
             while len(versions) > 1 and versions[1].revision <= revision:
                 del versions[0]
 
-    def _at(self, key: str, revision: int) -> messages.Row | None:
+    def _row_at(self, key: str, revision: int) -> messages.Row | None:
         for version in reversed(self.versions.get(key, ())):
             if version.revision <= revision:
                 return version.row
@@ -183,14 +187,14 @@
 def difference(
     before: list[messages.Row], after: list[messages.Row]
 ) -> tuple[list[messages.Row], list[str]]:
-    """Return the rows to set and the keys to remove between two tables."""
-    known = {row.key: row for row in before}
-    rows = [row for row in after if known.get(row.key) != row]
-    removed = known.keys() - {row.key for row in after}
+    """Return the rows to set and keys to remove to turn one into another."""
+    before_by_key = {row.key: row for row in before}
+    rows = [row for row in after if before_by_key.get(row.key) != row]
+    removed = before_by_key.keys() - {row.key for row in after}
     return rows, sorted(removed)
 
 
-def _note(
+def _describe_change(
     key: str, before: messages.Row | None, after: messages.Row | None
 ) -> str:
     if after is None:
@@ -205,7 +209,7 @@
     return f'{key}: ' + ', '.join(cells)
 
 
-def _show(row: messages.Row | None) -> str:
+def _format_row(row: messages.Row | None) -> str:
     if row is None:
         return 'removed'
     return ', '.join(f'{name}={getattr(row, name)}' for name in VALUE_COLUMNS)
