--- a/src/bulrushhold/forwarding/_admission.py
+++ b/src/bulrushhold/forwarding/_admission.py
@@ -23,7 +23,7 @@
 
 
 async def wait_for_admission(
-    parts: _parts.Parts,
+    context: _parts.Parts,
     job: _parts.Job,
     look: cabc.Callable[[], decisions.CapacityEstimate],
     *,
@@ -36,14 +36,14 @@
     :param since: when its caller began to wait.
     :param begun: the caller has a part of it.
     """
-    admission, service = parts.admission, job.service
-    now = began = parts.clock()
+    admission, service = context.admission, job.service
+    now = began = context.clock()
     outcome = decisions.AdmissionDecision.WAIT
     admission.waiting[service] += 1
     try:
         while True:
             estimate = look()
-            entries = parts.budget.entries
+            entries = context.budget.entries
             queue_s = admission.queue_s(service, estimate, entries, now)
             outcome = admission.decide(
                 estimate,
@@ -63,12 +63,12 @@
             if outcome is not decisions.AdmissionDecision.WAIT:
                 break
             if now == began:
-                parts.placement.on_news()
+                context.placement.on_news()
             admission.held(now)
             await asyncio.sleep(
                 decisions.ADMISSION_CHECK_S * (0.5 + random.random())
             )
-            now = parts.clock()
+            now = context.clock()
     finally:
         admission.waiting[service] -= 1
     if now > began:
--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -73,7 +73,7 @@
         reading: int,
     ) -> None:
         self.stream = run
-        self.parts = run.parts
+        self.context = run.context
         self.engine = engine
         self.copy = copy
         self.backup = backup
@@ -82,8 +82,8 @@
         self.sending: asyncio.Future[calls.BackendAnswer] | None = None
         self.spoke = False
         self.renewal: asyncio.Task[None] | None = None
-        self.speeds = run.parts.placement.speeds
-        self.begun = run.parts.clock()
+        self.speeds = run.context.placement.speeds
+        self.begun = run.context.clock()
         self.unread: decisions.Reading | None = None
         self.here_s = 0.0
         self.learnt_at = self.shown_at = self.begun
@@ -93,10 +93,10 @@
     async def run(self) -> calls.Reply | None:
         answer = await self._open()
         head = answer.head
-        _parts.learn(self.parts, self.engine.ident, head)
+        _parts.learn(self.context, self.engine.ident, head)
         if head.not_run:
             if head.status == 421:
-                self.parts.placement.replaced(self.engine.ident)
+                self.context.placement.replaced(self.engine.ident)
             raise StreamLostError(
                 f'refused with {head.status}', sent=False, gone=False
             )
@@ -105,8 +105,8 @@
         if head.status >= 300:
             return await self._failure(answer)
         await self._relay(answer)
-        now = self.parts.clock()
-        self.parts.placement.succeeded(self.engine.ident, now, None)
+        now = self.context.clock()
+        self.context.placement.succeeded(self.engine.ident, now, None)
         if self.copy is None and self.stream.job.call.after is None:
             self.speeds.ran(self.stream.job.service, now - self.begun, now)
         self.close()
@@ -138,7 +138,7 @@
         copy = self.stream.copy
         if copy is not None:
             self.stream.copy = None
-            await self.parts.client.drop_copy(copy, RENEW_S)
+            await self.context.client.drop_copy(copy, RENEW_S)
 
     async def _open(self) -> calls.BackendAnswer:
         attempt = calls.Attempt(
@@ -154,10 +154,10 @@
             fresh=True,
         )
         self.sending = asyncio.ensure_future(
-            self.parts.client.send(self.stream.job.call, attempt)
+            self.context.client.send(self.stream.job.call, attempt)
         )
         self._expect_first()
-        silence = _liveness.Silence(self.parts.clock)
+        silence = _liveness.Silence(self.context.clock)
         while not self.sending.done():
             with silence.counted(FIRST_ASK_S):
                 await asyncio.wait({self.sending}, timeout=FIRST_ASK_S)
@@ -179,7 +179,7 @@
         if not self.reading or self.stream.job.call.after is not None:
             # What a caller comes back for may be in memory: no measure.
             return
-        now = self.parts.clock()
+        now = self.context.clock()
         tokens = self.engine.reading + self.engine.others.reading
         service = self.stream.job.service
         self.unread = self.speeds.reads(
@@ -199,7 +199,7 @@
     async def _is_alive(self, silence: _liveness.Silence) -> bool:
         with silence.counted(_liveness.ASKED_S):
             return await _liveness.is_alive(
-                self.parts.client, self.engine.address
+                self.context.client, self.engine.address
             )
 
     async def _failure(self, answer: calls.BackendAnswer) -> calls.Reply:
@@ -251,7 +251,7 @@
 
     def _is_kept(self, backup: decisions.Placed) -> bool:
         since = self.stream.backup_since
-        return self.parts.placement.keeps_copy(backup, since)
+        return self.context.placement.keeps_copy(backup, since)
 
     async def _renew_copy(self) -> None:
         stream = self.stream
@@ -263,9 +263,9 @@
             self._keep_copy_at(target)
             made_at = float('-inf')
             while self._is_kept(target):
-                now = self.parts.clock()
+                now = self.context.clock()
                 try:
-                    stream.copy = await self.parts.client.copy_run(
+                    stream.copy = await self.context.client.copy_run(
                         stream.job.call,
                         self.engine.address,
                         target.address,
@@ -288,7 +288,7 @@
     def _keep_copy_at(self, target: decisions.Placed) -> None:
         stream = self.stream
         stream.backup = stream.copy = None
-        stream.backup_since = self.parts.clock()
+        stream.backup_since = self.context.clock()
         if self.backup is not None:
             self.backup.memory -= stream.memory
         target.memory += stream.memory
@@ -318,7 +318,7 @@
             raise StreamLostError(gap, gone=False)
 
     async def _show(self, answer: calls.BackendAnswer, data: bytes) -> None:
-        now = self.parts.clock()
+        now = self.context.clock()
         if self.spoke:
             self.pauses.add(now - self.shown_at)
             if now - self.learnt_at > LEARN_S:
@@ -328,10 +328,12 @@
             self.spoke = True
             if self.unread is not None:
                 self.speeds.read(self.unread, self.stream.wanted, now)
-            self.parts.placement.has_read(self.engine, self.reading)
+            self.context.placement.has_read(self.engine, self.reading)
             self.reading = 0
             self.stream.took(self.engine.ident)
-            self.parts.placement.read(self.stream.part, self.engine.ident, now)
+            self.context.placement.read(
+                self.stream.part, self.engine.ident, now
+            )
         out = self.stream.out
         if not out.begun:
             await out.begin(answer.head.status, answer.head.headers)
@@ -339,7 +341,7 @@
         await out.write(data)
 
     async def _chunk(self, answer: calls.BackendAnswer) -> bytes:
-        silence = _liveness.Silence(self.parts.clock)
+        silence = _liveness.Silence(self.context.clock)
         while True:
             ask = self.patience.ask_after_s if self.spoke else FIRST_ASK_S
             with contextlib.suppress(TimeoutError), silence.counted(ask):
@@ -383,7 +385,7 @@
             self.speeds.pause_s(
                 self.stream.job.service,
                 wanted,
-                self.parts.clock(),
+                self.context.clock(),
                 deviations,
             )
             for deviations in (COMMON, USUAL)
--- a/src/bulrushhold/forwarding/_forwarder.py
+++ b/src/bulrushhold/forwarding/_forwarder.py
@@ -30,9 +30,9 @@
 class Forwarder:
     """The way of every opaque request through this entry."""
 
-    def __init__(self, fleet: _fleet.Fleet, parts: _parts.Parts) -> None:
+    def __init__(self, fleet: _fleet.Fleet, context: _parts.Parts) -> None:
         self.fleet = fleet
-        self.parts = parts
+        self.context = context
         self.closing = False
         self.ends_at = float('inf')
 
@@ -43,21 +43,21 @@
 
         :raises RequestError: the honest refusal.
         """
-        begun = self.parts.clock()
+        begun = self.context.clock()
         try:
             if self.fleet.index is None:
                 await self._wait_for_start(call)
             job = self._accept(call, begun)
             if job.route.kind is routes.Kind.STREAM:
-                reply = await _streams.StreamRun(self.parts, job, out).run()
+                reply = await _streams.StreamRun(self.context, job, out).run()
             else:
-                reply = await _plain.PlainRun(self.parts, job).run()
+                reply = await _plain.PlainRun(self.context, job).run()
         except errors.RequestError as error:
-            self.parts.metrics.count(f'requests.refused.{error.status}')
+            self.context.metrics.count(f'requests.refused.{error.status}')
             _log_refusal(call, error, self.fleet.map_version)
             raise
-        self.parts.metrics.count('requests.answered')
-        self.parts.metrics.time('requests', self.parts.clock() - begun)
+        self.context.metrics.count('requests.answered')
+        self.context.metrics.time('requests', self.context.clock() - begun)
         return reply
 
     async def _wait_for_start(self, call: calls.Call) -> None:
@@ -91,7 +91,7 @@
             self._refuse_what_would_be_cut(service, route, now)
         fingerprint = decisions.fingerprint(path, call.key, call.body)
         self._refuse_crasher(fingerprint, service, now)
-        self.parts.budget.first(service, now)
+        self.context.budget.first(service, now)
         end = now + min(call.wait_s, route.timeout_s)
         return _parts.Job(call, route, service, account, end, fingerprint)
 
@@ -104,7 +104,7 @@
         cut in the middle as the process ends; refused at once, its caller is
         served by another entry, in time.
         """
-        run_s = self.parts.placement.speeds.run_s(service, now)
+        run_s = self.context.placement.speeds.run_s(service, now)
         if now + LONG_RUN * (run_s or route.aim_s) > self.ends_at:
             raise errors.RequestError(
                 'leaving, and streams take longer than that',
@@ -116,7 +116,7 @@
     def _refuse_crasher(
         self, fingerprint: str, service: str, now: float
     ) -> None:
-        seconds = self.parts.crashers.refused_for(fingerprint, now)
+        seconds = self.context.crashers.refused_for(fingerprint, now)
         if seconds:
             raise errors.RequestError(
                 'engines died under this request',
--- a/src/bulrushhold/forwarding/_parts.py
+++ b/src/bulrushhold/forwarding/_parts.py
@@ -82,9 +82,9 @@
     )
 
 
-def learn(parts: Parts, ident: str, head: calls.AnswerHead) -> None:
+def learn(context: Parts, ident: str, head: calls.AnswerHead) -> None:
     """Take what an answer tells of its server's load."""
     if head.load is not None:
-        parts.placement.reported(
-            ident, head.load.running, head.load.waiting, parts.clock()
+        context.placement.reported(
+            ident, head.load.running, head.load.waiting, context.clock()
         )
--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -37,8 +37,8 @@
 class PlainRun:
     """One request's way through one or more backend servers."""
 
-    def __init__(self, parts: _parts.Parts, job: _parts.Job) -> None:
-        self.parts = parts
+    def __init__(self, context: _parts.Parts, job: _parts.Job) -> None:
+        self.context = context
         self.job = job
         self.tried: set[str] = set()
         self.attempts = 0
@@ -66,14 +66,14 @@
                 raise self._failure(last, backend.ident)
 
     def _left(self) -> float:
-        return self.job.end - self.parts.clock()
+        return self.job.end - self.context.clock()
 
     def _choose(self) -> decisions.Placed | None:
         if self._left() < LEAST_LEFT_S:
             return None
-        return self.parts.placement.choose(
+        return self.context.placement.choose(
             self.job.service,
-            self.parts.clock(),
+            self.context.clock(),
             once=not self.repeatable,
             tried=self.tried,
         )
@@ -83,15 +83,15 @@
             self.attempts += 1
         if self.attempts >= self.job.route.max_attempts:
             return False
-        usable = self.parts.placement.usable(self.job.service)
+        usable = self.context.placement.usable(self.job.service)
         if all(b.ident in self.tried for b in usable):
             await asyncio.sleep(PAUSE_S)
             self.tried.clear()
         if self._left() < LEAST_LEFT_S:
             return False
-        if self.parts.budget.take(self.job.service, self.parts.clock()):
+        if self.context.budget.take(self.job.service, self.context.clock()):
             return True
-        self.parts.metrics.count('repeats.refused')
+        self.context.metrics.count('repeats.refused')
         _parts.log(self.job, 'repeat budget spent')
         return False
 
@@ -107,7 +107,7 @@
 
     async def _attempt(self, backend: decisions.Placed) -> _Result:
         self.tried.add(backend.ident)
-        begun = self.parts.clock()
+        begun = self.context.clock()
         backend.inflight += 1
         task = asyncio.ensure_future(self._exchange(backend))
         try:
@@ -120,7 +120,7 @@
                 # the request, or both work on it.
                 with contextlib.suppress(asyncio.CancelledError):
                     await task
-        self._judge(backend, result, self.parts.clock() - begun)
+        self._judge(backend, result, self.context.clock() - begun)
         return result
 
     async def _wait(
@@ -139,7 +139,7 @@
 
     def _another_allowed(self) -> bool:
         """Whether leaving a slow server leads anywhere."""
-        others = self.parts.placement.usable(self.job.service)
+        others = self.context.placement.usable(self.job.service)
         return self.attempts + 1 < self.job.route.max_attempts and any(
             b.ident not in self.tried and b.suspect_until == 0 for b in others
         )
@@ -154,12 +154,12 @@
         )
         answer = None
         try:
-            answer = await self.parts.client.send(self.job.call, attempt)
+            answer = await self.context.client.send(self.job.call, attempt)
             head = answer.head
-            _parts.learn(self.parts, backend.ident, head)
+            _parts.learn(self.context, backend.ident, head)
             if head.not_run:
                 if head.status == 421:
-                    self.parts.placement.replaced(backend.ident)
+                    self.context.placement.replaced(backend.ident)
                 return _Result(errors.Ran.NO, f'refused with {head.status}')
             if not head.own or not head.genuine:
                 return _Result(errors.Ran.UNKNOWN, 'a foreign answer')
@@ -180,17 +180,17 @@
     def _judge(
         self, backend: decisions.Placed, result: _Result, seconds: float
     ) -> None:
-        now = self.parts.clock()
+        now = self.context.clock()
         good = result.reply is not None and result.reply.status < 500
         if good:
-            self.parts.placement.succeeded(backend.ident, now, seconds)
+            self.context.placement.succeeded(backend.ident, now, seconds)
             return
         unreachable = (
             result.ran is errors.Ran.NO
             and 'connect' in (result.reason.split(' ', 1)[0])
         )
-        self.parts.placement.failed(backend.ident, now, gone=unreachable)
-        self.parts.metrics.count('attempts.failed')
+        self.context.placement.failed(backend.ident, now, gone=unreachable)
+        self.context.metrics.count('attempts.failed')
         _parts.log(
             self.job,
             'attempt failed',
--- a/src/bulrushhold/forwarding/_prompts.py
+++ b/src/bulrushhold/forwarding/_prompts.py
@@ -10,7 +10,9 @@
 LOOK_S: t.Final = 0.1
 
 
-async def find_prompt(parts: _parts.Parts, job: _parts.Job, part: str) -> bool:
+async def find_prompt(
+    context: _parts.Parts, job: _parts.Job, part: str
+) -> bool:
     """Ask engines for a prompt, and whether one of them has it.
 
     The caller's entry was lost, perhaps all entries, and with them who knew
@@ -19,10 +21,12 @@
 
     :param part: the prompt's last one.
     """
-    keepers = parts.placement.likely_keepers(job.service, part, parts.clock())
+    keepers = context.placement.likely_keepers(
+        job.service, part, context.clock()
+    )
     answers = await asyncio.gather(
         *(
-            parts.client.parts_kept(keeper.address, LOOK_S)
+            context.client.parts_kept(keeper.address, LOOK_S)
             for keeper in keepers
         ),
         return_exceptions=True,
@@ -46,5 +50,5 @@
     if not holders:
         return False
     best = min(holders, key=lambda h: h.reading + h.others.reading)
-    parts.placement.read(part, best.ident, parts.clock())
+    context.placement.read(part, best.ident, context.clock())
     return True
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -29,9 +29,9 @@
     """
 
     def __init__(
-        self, parts: _parts.Parts, job: _parts.Job, out: calls.CallerStream
+        self, context: _parts.Parts, job: _parts.Job, out: calls.CallerStream
     ) -> None:
-        self.parts = parts
+        self.context = context
         self.job = job
         self.out = out
         self.last = job.call.after
@@ -48,7 +48,7 @@
         )
         self.lost_data_centre = ''
         self.lost_at: float | None = None
-        self.begun_at = parts.clock()
+        self.begun_at = context.clock()
         self.first_s: float | None = None
         self.shown_at = 0.0
         self.longest_pause_s = 0.0
@@ -59,8 +59,8 @@
             job.route.aim_s or job.route.timeout_s,
             job.route.gap_s or job.route.aim_s or job.route.timeout_s,
         )
-        parts_ = job.call.prompt.parts if job.call.prompt else ()
-        self.part = parts_[-1] if parts_ else ''
+        segments = job.call.prompt.parts if job.call.prompt else ()
+        self.part = segments[-1] if segments else ''
 
     async def run(self) -> calls.Reply | None:
         """Return a reply, or ``None`` where the stream went out.
@@ -85,12 +85,12 @@
             engine, copy = await self._choose()
             if engine is None:
                 return self._end_early(reason, peer)
-            begun, last = self.parts.clock(), self.last
+            begun, last = self.context.clock(), self.last
             try:
                 reply = await self._attempt(engine, copy)
             except _flow.StreamLostError as lost:
                 reason, peer = str(lost), engine.ident
-                lost.seconds = self.parts.clock() - begun
+                lost.seconds = self.context.clock() - begun
                 lost.last_before = last
                 await self._look_whether_gone(engine, lost)
                 self._learn_loss(engine, lost)
@@ -98,17 +98,17 @@
                     return self._end_early(reason, peer)
             else:
                 if reply is None:
-                    self.parts.crashers.served(self.job.fingerprint)
+                    self.context.crashers.served(self.job.fingerprint)
                 self._log_end('stream whole' if reply is None else 'failed')
                 return reply
 
     async def _wait_for_admission(self) -> _admission.Admission:
         begun = self.last is not None
         return await _admission.wait_for_admission(
-            self.parts,
+            self.context,
             self.job,
             self.estimate_capacity,
-            since=self.parts.clock() if begun else self.begun_at,
+            since=self.context.clock() if begun else self.begun_at,
             begun=begun,
         )
 
@@ -117,19 +117,19 @@
 
         :raises RequestError: where that would take too long.
         """
-        if not self.parts.placement.can_hold(self.job.service, self.tokens):
+        if not self.context.placement.can_hold(self.job.service, self.tokens):
             raise self._refuse(
                 f'no engine holds {self.tokens} tokens', TOO_LARGE_RETRY_S
             )
         returns = self.job.call.after is not None
         if returns and await _prompts.find_prompt(
-            self.parts, self.job, self.part
+            self.context, self.job, self.part
         ):
             # Nothing is to be read that others would have to wait for.
             return
         admission = await self._wait_for_admission()
         if not admission.comes:
-            self.parts.metrics.count('streams.refused_full')
+            self.context.metrics.count('streams.refused_full')
             raise self._refuse('engines are full', admission.retry_after_s)
 
     def _refuse(
@@ -143,16 +143,16 @@
 
         :param but: engine that the others are to be compared with.
         """
-        return self.parts.placement.estimate_capacity(
+        return self.context.placement.estimate_capacity(
             self.job.service,
-            self.parts.clock(),
+            self.context.clock(),
             wanted=self.wanted,
             memory=self.memory,
             but=but,
         )
 
     def left(self) -> float:
-        return self.job.end - self.parts.clock()
+        return self.job.end - self.context.clock()
 
     async def _choose(
         self,
@@ -162,17 +162,17 @@
             return None, None
         backup, copy = self.backup, self.copy
         self.backup = self.copy = None
-        now = self.parts.clock()
+        now = self.context.clock()
         if (
             backup is not None
             and backup.suspect_until <= now
-            and self.parts.placement.keeps_copy(backup, self.backup_since)
+            and self.context.placement.keeps_copy(backup, self.backup_since)
         ):
             return backup, copy or calls.RunCopy(backup.address)
         if self.runs and not (await self._wait_for_admission()).comes:
             return None, None
-        now = self.parts.clock()
-        engine = self.parts.placement.choose_engine(
+        now = self.context.clock()
+        engine = self.context.placement.choose_engine(
             self.job.service,
             now,
             tokens=self.tokens,
@@ -193,28 +193,28 @@
                 return False
         if self.runs >= self.job.route.max_attempts:
             return False
-        usable = self.parts.placement.usable(self.job.service)
+        usable = self.context.placement.usable(self.job.service)
         if all(b.ident in self.tried for b in usable):
             await asyncio.sleep(PAUSE_S)
             self.tried.clear()
         if self.left() < LEAST_LEFT_S:
             return False
-        if self.parts.budget.take(
+        if self.context.budget.take(
             self.job.service,
-            self.parts.clock(),
+            self.context.clock(),
             begun=self.out.begun,
         ):
             return True
-        self.parts.metrics.count('repeats.refused')
+        self.context.metrics.count('repeats.refused')
         _parts.log(self.job, 'repeat budget spent', begun=self.out.begun)
         return False
 
     def shows(self) -> None:
         """Learn that events go out to the caller now."""
-        now = self.parts.clock()
+        now = self.context.clock()
         if self.first_s is None:
             self.first_s = now - self.begun_at
-            self.parts.metrics.time('streams.first', self.first_s)
+            self.context.metrics.time('streams.first', self.first_s)
         else:
             pause = now - self.shown_at
             self.longest_pause_s = max(self.longest_pause_s, pause)
@@ -229,13 +229,13 @@
             lost_runs=self.runs,
             first_s=None if first_s is None else round(first_s, 3),
             longest_pause_s=round(self.longest_pause_s, 3),
-            seconds=round(self.parts.clock() - self.begun_at, 3),
+            seconds=round(self.context.clock() - self.begun_at, 3),
             **fields,
         )
 
     def _end_early(self, reason: str, peer: str) -> calls.Reply | None:
         self._log_end('stream ended early', reason=reason, peer=peer)
-        self.parts.metrics.count('streams.broken')
+        self.context.metrics.count('streams.broken')
         if self.out.begun:
             self.out.cut()
             return None
@@ -255,9 +255,9 @@
             self.tried.add(engine.ident)
         backup = self.choose_backup(engine)
         self.backup = backup
-        self.backup_since = self.parts.clock()
+        self.backup_since = self.context.clock()
         reading = 0 if copy else self.tokens
-        self.parts.placement.began(engine, reading)
+        self.context.placement.began(engine, reading)
         engine.memory += self.memory
         if backup is not None:
             backup.memory += self.memory
@@ -273,14 +273,14 @@
             running=engine.inflight + engine.others.running,
             memory=engine.memory + engine.others.memory,
             load_age_s=round(
-                self.parts.clock() - self.parts.placement.last_report_at, 2
+                self.context.clock() - self.context.placement.last_report_at, 2
             ),
         )
         try:
             return await flow.run()
         finally:
             flow.close()
-            self.parts.placement.ended(engine, flow.reading)
+            self.context.placement.ended(engine, flow.reading)
             engine.memory -= self.memory
             if flow.backup is not None:
                 flow.backup.memory -= self.memory
@@ -290,13 +290,13 @@
     ) -> decisions.Placed | None:
         if not (self.job.route.resumable and self.tokens):
             return None
-        now = self.parts.clock()
-        return self.parts.placement.choose_backup(
+        now = self.context.clock()
+        return self.context.placement.choose_backup(
             engine,
             now,
             self.tried,
             self.memory,
-            overloaded=self.parts.admission.overloaded(now),
+            overloaded=self.context.admission.overloaded(now),
         )
 
     async def _look_whether_gone(
@@ -308,7 +308,7 @@
         for others' streams and keeps its copies; taken for dead by all
         entries, a few such faults leave them without engines.
         """
-        if lost.reset and await self.parts.client.alive(
+        if lost.reset and await self.context.client.alive(
             engine.address, _liveness.ASKED_S
         ):
             lost.gone = False
@@ -316,13 +316,13 @@
     def _learn_loss(
         self, engine: decisions.Placed, lost: _flow.StreamLostError
     ) -> None:
-        now = self.parts.clock()
-        self.parts.placement.failed(engine.ident, now, gone=lost.gone)
-        self.parts.metrics.count('engines.lost')
+        now = self.context.clock()
+        self.context.placement.failed(engine.ident, now, gone=lost.gone)
+        self.context.metrics.count('engines.lost')
         if lost.gone:
             self.lost_data_centre = engine.data_centre
         if lost.gone and lost.sent:
-            self.parts.crashers.died(self.job.fingerprint, engine.ident, now)
+            self.context.crashers.died(self.job.fingerprint, engine.ident, now)
         if self.out.begun and self.lost_at is None:
             self.lost_at = now
         _parts.log(
@@ -336,9 +336,9 @@
 
     def took(self, ident: str) -> None:
         """Learn that events are coming from an engine."""
-        now = self.parts.clock()
+        now = self.context.clock()
         if self.lost_at is not None:
-            self.parts.metrics.time('streams.resumed', now - self.lost_at)
+            self.context.metrics.time('streams.resumed', now - self.lost_at)
             _parts.log(
                 self.job,
                 'stream resumed',
