--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -157,9 +157,9 @@
             self.context.client.send(self.stream.job.call, attempt)
         )
         self._expect_first()
-        silence = _liveness.Silence(self.context.clock)
+        silence = _liveness.SilenceTimer(self.context.clock)
         while not self.sending.done():
-            with silence.counted(FIRST_ASK_S):
+            with silence.measure(FIRST_ASK_S):
                 await asyncio.wait({self.sending}, timeout=FIRST_ASK_S)
             if self.sending.done():
                 break
@@ -188,7 +188,7 @@
         token_s = self.speeds.token_s(service, self.stream.wanted, now)
         self.here_s = tokens * token_s
 
-    def _check_first(self, silence: _liveness.Silence) -> None:
+    def _check_first(self, silence: _liveness.SilenceTimer) -> None:
         waited = silence.seconds
         if self.stream.left() <= 0:
             raise StreamLostError('no event in time', gone=False)
@@ -196,8 +196,8 @@
         if waited > decisions.leave_unread_s(self.here_s, elsewhere_s):
             raise StreamLostError(f'no event for {waited:.2f} s', gone=False)
 
-    async def _is_alive(self, silence: _liveness.Silence) -> bool:
-        with silence.counted(_liveness.ASKED_S):
+    async def _is_alive(self, silence: _liveness.SilenceTimer) -> bool:
+        with silence.measure(_liveness.PROBE_TIMEOUT_S):
             return await _liveness.is_alive(
                 self.context.client, self.engine.address
             )
@@ -341,10 +341,10 @@
         await out.write(data)
 
     async def _chunk(self, answer: calls.BackendAnswer) -> bytes:
-        silence = _liveness.Silence(self.context.clock)
+        silence = _liveness.SilenceTimer(self.context.clock)
         while True:
             ask = self.patience.ask_after_s if self.spoke else FIRST_ASK_S
-            with contextlib.suppress(TimeoutError), silence.counted(ask):
+            with contextlib.suppress(TimeoutError), silence.measure(ask):
                 async with asyncio.timeout(ask):
                     return await self._read(answer)
             if self.spoke:
@@ -354,7 +354,7 @@
             if not await self._is_alive(silence):
                 return await self._read_at_once(answer)
 
-    def _check_silence(self, silence: _liveness.Silence) -> None:
+    def _check_silence(self, silence: _liveness.SilenceTimer) -> None:
         silent = silence.seconds
         if silent > self._most_silent_s() or self.stream.left() <= 0:
             raise StreamLostError(f'silent for {silent:.2f} s', gone=False)
@@ -391,7 +391,7 @@
             for deviations in (COMMON, USUAL)
         )
         return decisions.Patience(
-            common, usual, wanted.gap_s, _liveness.ASKED_S
+            common, usual, wanted.gap_s, _liveness.PROBE_TIMEOUT_S
         )
 
     async def _read(self, answer: calls.BackendAnswer) -> bytes:
--- a/src/bulrushhold/forwarding/_liveness.py
+++ b/src/bulrushhold/forwarding/_liveness.py
@@ -8,12 +8,12 @@
 from bulrushhold import calls
 
 # Engines answer a report within milliseconds, however busy they are.
-ASKED_S: t.Final = 0.18
-STEP_S: t.Final = 0.03
-STEPS: t.Final = round(ASKED_S / STEP_S)
+PROBE_TIMEOUT_S: t.Final = 0.18
+POLL_STEP_S: t.Final = 0.03
+POLL_STEPS: t.Final = round(PROBE_TIMEOUT_S / POLL_STEP_S)
 # On a lossy link the answer to a single question is often late.
-SECOND_ASK_STEP: t.Final = STEPS // 3
-MOST_ASK_S: t.Final = 2.0
+SECOND_PROBE_STEP: t.Final = POLL_STEPS // 3
+MAX_PROBE_S: t.Final = 2.0
 
 
 async def is_alive(client: calls.BackendClient, address: str) -> bool:
@@ -23,38 +23,38 @@
     reads its sockets late; by the clock it would take living engines for
     dead, and their streams would be read again elsewhere.
     """
-    asked: set[asyncio.Future[bool]] = set()
+    probes: set[asyncio.Future[bool]] = set()
     try:
-        for step in range(STEPS):
-            if step in (0, SECOND_ASK_STEP):
-                ask = client.alive(address, MOST_ASK_S)
-                asked.add(asyncio.ensure_future(ask))
-            answers = await _next_answers(asked)
-            if any(answer.result() for answer in answers):
+        for step in range(POLL_STEPS):
+            if step in (0, SECOND_PROBE_STEP):
+                probe = client.alive(address, MAX_PROBE_S)
+                probes.add(asyncio.ensure_future(probe))
+            finished = await _wait_one_step(probes)
+            if any(task.result() for task in finished):
                 return True
-            asked -= answers
-            if not asked and step >= SECOND_ASK_STEP:
+            probes -= finished
+            if not probes and step >= SECOND_PROBE_STEP:
                 return False
     finally:
-        for ask in asked:
-            ask.cancel()
+        for probe in probes:
+            probe.cancel()
     return False
 
 
-async def _next_answers(
-    asked: set['asyncio.Future[bool]'],
+async def _wait_one_step(
+    probes: set['asyncio.Future[bool]'],
 ) -> set['asyncio.Future[bool]']:
     """Return the answers that come within one step."""
-    if not asked:
-        await asyncio.sleep(STEP_S)
+    if not probes:
+        await asyncio.sleep(POLL_STEP_S)
         return set()
-    answers, _ = await asyncio.wait(
-        asked, timeout=STEP_S, return_when=asyncio.FIRST_COMPLETED
+    finished, _ = await asyncio.wait(
+        probes, timeout=POLL_STEP_S, return_when=asyncio.FIRST_COMPLETED
     )
-    return answers
+    return finished
 
 
-class Silence:
+class SilenceTimer:
     """How long an engine has sent nothing while this process could read.
 
     A machine that stood still wakes with all its timers due, and with its
@@ -68,10 +68,10 @@
         self.seconds = 0.0
 
     @contextlib.contextmanager
-    def counted(self, most_s: float) -> cabc.Iterator[None]:
+    def measure(self, max_s: float) -> cabc.Iterator[None]:
         """Count the time that a wait takes, up to its timeout."""
-        begun = self.clock()
+        started = self.clock()
         try:
             yield
         finally:
-            self.seconds += min(self.clock() - begun, most_s)
+            self.seconds += min(self.clock() - started, max_s)
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -309,7 +309,7 @@
         entries, a few such faults leave them without engines.
         """
         if lost.reset and await self.context.client.alive(
-            engine.address, _liveness.ASKED_S
+            engine.address, _liveness.PROBE_TIMEOUT_S
         ):
             lost.gone = False
 
