--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -19,17 +19,17 @@
 # While a prompt is read, its engine is asked so often whether it lives.
 FIRST_ASK_S: t.Final = 0.5
 # Pauses between events are learnt in batches: several times a second.
-LEARN_S: t.Final = 0.2
+PAUSE_REPORT_INTERVAL_S: t.Final = 0.2
 # Standard deviations above the mean pause, within which pauses mostly and
 # nearly always are (the latter as in RFC 6298).
-COMMON: t.Final = 1.5
-USUAL: t.Final = 4.0
+COMMON_DEVIATIONS: t.Final = 1.5
+USUAL_DEVIATIONS: t.Final = 4.0
 # Engines drop a copy made by order when it hasn't grown for this long.
-COPY_KEPT_S: t.Final = 4.0
+COPY_TTL_S: t.Final = 4.0
 # Renewed often enough to outlive one order that fails. What the run made since
 # the last one is read again.
-RENEW_S: t.Final = 1.5
-NO_SIGN_OF_LIFE: t.Final = 'silent, and gives no sign of life'
+COPY_RENEWAL_S: t.Final = 1.5
+NO_PROBE_ANSWER: t.Final = 'silent, and gives no sign of life'
 
 
 @attrs.define(slots=False)
@@ -45,23 +45,23 @@
     """
 
     sent: bool = True
-    gone: bool = True
+    unreachable: bool = True
     reset: bool = False
     seconds: float = 0.0
-    last_before: int | None = None
+    event_id_before: int | None = None
 
 
-def _close_answer(sending: 'asyncio.Future[calls.BackendAnswer]') -> None:
+def _close_answer(send_task: 'asyncio.Future[calls.BackendAnswer]') -> None:
     """Close what an abandoned sending brought, if anything.
 
     Without this the engine would go on with the run until the connection
     is garbage collected.
     """
-    if not sending.cancelled() and sending.exception() is None:
-        sending.result().close()
+    if not send_task.cancelled() and send_task.exception() is None:
+        send_task.result().close()
 
 
-class Flow:
+class EngineStream:
     """The events of one engine, on to the caller."""
 
     def __init__(
@@ -79,16 +79,16 @@
         self.backup = backup
         self.reading = reading
         self.answer: calls.BackendAnswer | None = None
-        self.sending: asyncio.Future[calls.BackendAnswer] | None = None
-        self.spoke = False
+        self.send_task: asyncio.Future[calls.BackendAnswer] | None = None
+        self.received_event = False
         self.renewal: asyncio.Task[None] | None = None
         self.speeds = run.context.placement.speeds
-        self.begun = run.context.clock()
-        self.unread: decisions.Reading | None = None
-        self.here_s = 0.0
-        self.learnt_at = self.shown_at = self.begun
-        self.patience = self._look_at_pauses()
-        self.pauses = decisions.Pauses(self.patience.usual_pause_s)
+        self.started_at = run.context.clock()
+        self.read_sample: decisions.Reading | None = None
+        self.expected_first_s = 0.0
+        self.pauses_reported_at = self.last_event_at = self.started_at
+        self.stall_timeouts = self._make_stall_timeouts()
+        self.pauses = decisions.Pauses(self.stall_timeouts.usual_pause_s)
 
     async def run(self) -> calls.Reply | None:
         answer = await self._open()
@@ -98,36 +98,40 @@
             if head.status == 421:
                 self.context.placement.replaced(self.engine.ident)
             raise StreamLostError(
-                f'refused with {head.status}', sent=False, gone=False
+                f'refused with {head.status}', sent=False, unreachable=False
             )
         if not head.own or not head.genuine:
-            raise StreamLostError('a foreign answer', gone=False)
+            raise StreamLostError('a foreign answer', unreachable=False)
         if head.status >= 300:
-            return await self._failure(answer)
+            return await self._failure_reply(answer)
         await self._relay(answer)
         now = self.context.clock()
         self.context.placement.succeeded(self.engine.ident, now, None)
         if self.copy is None and self.stream.job.call.after is None:
-            self.speeds.ran(self.stream.job.service, now - self.begun, now)
+            self.speeds.ran(
+                self.stream.job.service, now - self.started_at, now
+            )
         self.close()
         await self.drop_copy()
         return None
 
     def close(self) -> None:
         """Leave the engine; it stops working on the stream."""
-        if self.unread is not None:
-            self.speeds.forget(self.unread)
-        if self.sending is not None:
-            self._abandon(self.sending)
+        if self.read_sample is not None:
+            self.speeds.forget(self.read_sample)
+        if self.send_task is not None:
+            self._cancel_send(self.send_task)
         if self.renewal is not None:
             self.renewal.cancel()
 
-    def _abandon(self, sending: 'asyncio.Future[calls.BackendAnswer]') -> None:
-        if sending.done():
-            _close_answer(sending)
+    def _cancel_send(
+        self, send_task: 'asyncio.Future[calls.BackendAnswer]'
+    ) -> None:
+        if send_task.done():
+            _close_answer(send_task)
             return
-        sending.cancel()
-        sending.add_done_callback(_close_answer)
+        send_task.cancel()
+        send_task.add_done_callback(_close_answer)
 
     async def drop_copy(self) -> None:
         """Free the copy that was ordered, once the stream is whole.
@@ -138,7 +142,7 @@
         copy = self.stream.copy
         if copy is not None:
             self.stream.copy = None
-            await self.context.client.drop_copy(copy, RENEW_S)
+            await self.context.client.drop_copy(copy, COPY_RENEWAL_S)
 
     async def _open(self) -> calls.BackendAnswer:
         attempt = calls.Attempt(
@@ -146,35 +150,35 @@
             self.engine.ident,
             self.stream.job.account,
             self.stream.left(),
-            after=self.stream.last,
+            after=self.stream.last_event_id,
             backup=self.backup.address if self.backup else '',
             copy=self.copy,
             # A kept connection that the engine closes meanwhile would look
             # like a crash; a new one costs a ms of a stream of seconds.
             fresh=True,
         )
-        self.sending = asyncio.ensure_future(
+        self.send_task = asyncio.ensure_future(
             self.context.client.send(self.stream.job.call, attempt)
         )
-        self._expect_first()
+        self._expect_first_event()
         silence = _liveness.SilenceTimer(self.context.clock)
-        while not self.sending.done():
+        while not self.send_task.done():
             with silence.measure(FIRST_ASK_S):
-                await asyncio.wait({self.sending}, timeout=FIRST_ASK_S)
-            if self.sending.done():
+                await asyncio.wait({self.send_task}, timeout=FIRST_ASK_S)
+            if self.send_task.done():
                 break
-            self._check_first(silence)
-            alive = await self._is_alive(silence)
-            if not alive and not self.sending.done():
-                raise StreamLostError(NO_SIGN_OF_LIFE)
+            self._check_first_event(silence)
+            answered = await self._is_alive(silence)
+            if not answered and not self.send_task.done():
+                raise StreamLostError(NO_PROBE_ANSWER)
         try:
-            self.answer = self.sending.result()
+            self.answer = self.send_task.result()
         except errors.BackendError as error:
             sent = error.step != 'connect'
             raise StreamLostError(str(error), sent=sent, reset=sent) from error
         return self.answer
 
-    def _expect_first(self) -> None:
+    def _expect_first_event(self) -> None:
         """Take down when the first event is expected."""
         if not self.reading or self.stream.job.call.after is not None:
             # What a caller comes back for may be in memory: no measure.
@@ -182,19 +186,23 @@
         now = self.context.clock()
         tokens = self.engine.reading + self.engine.others.reading
         service = self.stream.job.service
-        self.unread = self.speeds.reads(
+        self.read_sample = self.speeds.reads(
             service, self.engine.ident, tokens, now
         )
         token_s = self.speeds.token_s(service, self.stream.wanted, now)
-        self.here_s = tokens * token_s
+        self.expected_first_s = tokens * token_s
 
-    def _check_first(self, silence: _liveness.SilenceTimer) -> None:
+    def _check_first_event(self, silence: _liveness.SilenceTimer) -> None:
         waited = silence.seconds
         if self.stream.left() <= 0:
-            raise StreamLostError('no event in time', gone=False)
+            raise StreamLostError('no event in time', unreachable=False)
         elsewhere_s = self.stream.estimate_capacity(self.engine.ident).first_s
-        if waited > decisions.leave_unread_s(self.here_s, elsewhere_s):
-            raise StreamLostError(f'no event for {waited:.2f} s', gone=False)
+        if waited > decisions.leave_unread_s(
+            self.expected_first_s, elsewhere_s
+        ):
+            raise StreamLostError(
+                f'no event for {waited:.2f} s', unreachable=False
+            )
 
     async def _is_alive(self, silence: _liveness.SilenceTimer) -> bool:
         with silence.measure(_liveness.PROBE_TIMEOUT_S):
@@ -202,33 +210,33 @@
                 self.context.client, self.engine.address
             )
 
-    async def _failure(self, answer: calls.BackendAnswer) -> calls.Reply:
+    async def _failure_reply(self, answer: calls.BackendAnswer) -> calls.Reply:
         try:
             body = await answer.body()
         except errors.BackendError as error:
-            raise StreamLostError(str(error), gone=False) from error
+            raise StreamLostError(str(error), unreachable=False) from error
         head = answer.head
         reply = calls.Reply(head.status, head.headers, body)
         if head.status < 500 or not self.stream.job.route.repeatable:
             return reply
         self.stream.failed = reply
-        raise StreamLostError(f'failed with {head.status}', gone=False)
+        raise StreamLostError(f'failed with {head.status}', unreachable=False)
 
     async def _relay(self, answer: calls.BackendAnswer) -> None:
         splitter = _events.EventSplitter()
         while True:
-            chunk = await self._chunk(answer)
+            chunk = await self._next_chunk(answer)
             if not chunk:
                 break
             try:
                 events = splitter.feed(chunk)
             except errors.BackendError as error:
-                raise StreamLostError(str(error), gone=False) from error
-            await self._show_next(answer, events)
-            self._look_after_copy()
+                raise StreamLostError(str(error), unreachable=False) from error
+            await self._forward_new_events(answer, events)
+            self._ensure_copy()
         if splitter.rest:
             raise StreamLostError(
-                'ended in the middle of an event', gone=False
+                'ended in the middle of an event', unreachable=False
             )
         if not self.stream.out.begun:
             await self.stream.out.begin(
@@ -236,7 +244,7 @@
             )
         await self.stream.out.end()
 
-    def _look_after_copy(self) -> None:
+    def _ensure_copy(self) -> None:
         """Have a copy made where there is none, or none any more.
 
         Engines fail a data centre at a time: those that hold the copies go
@@ -247,9 +255,9 @@
             self.renewal = asyncio.ensure_future(self._renew_copy())
 
     def _has_copy(self) -> bool:
-        return self.backup is not None and self._is_kept(self.backup)
+        return self.backup is not None and self._keeps_copy(self.backup)
 
-    def _is_kept(self, backup: decisions.Placed) -> bool:
+    def _keeps_copy(self, backup: decisions.Placed) -> bool:
         since = self.stream.backup_since
         return self.context.placement.keeps_copy(backup, since)
 
@@ -258,18 +266,18 @@
         while True:
             target = stream.choose_backup(self.engine)
             if target is None:
-                await asyncio.sleep(RENEW_S)
+                await asyncio.sleep(COPY_RENEWAL_S)
                 continue
-            self._keep_copy_at(target)
-            made_at = float('-inf')
-            while self._is_kept(target):
+            self._set_backup(target)
+            copied_at = float('-inf')
+            while self._keeps_copy(target):
                 now = self.context.clock()
                 try:
                     stream.copy = await self.context.client.copy_run(
                         stream.job.call,
                         self.engine.address,
                         target.address,
-                        RENEW_S,
+                        COPY_RENEWAL_S,
                     )
                 except errors.BackendError as error:
                     # Mostly the run's own engine is being lost: the copy made
@@ -277,15 +285,15 @@
                     _parts.log(
                         stream.job, 'copy not renewed', reason=str(error)
                     )
-                    await asyncio.sleep(RENEW_S)
-                    if now - made_at > COPY_KEPT_S:
+                    await asyncio.sleep(COPY_RENEWAL_S)
+                    if now - copied_at > COPY_TTL_S:
                         break
                     continue
                 stream.backup = target
-                made_at = now
-                await asyncio.sleep(RENEW_S)
+                copied_at = now
+                await asyncio.sleep(COPY_RENEWAL_S)
 
-    def _keep_copy_at(self, target: decisions.Placed) -> None:
+    def _set_backup(self, target: decisions.Placed) -> None:
         stream = self.stream
         stream.backup = stream.copy = None
         stream.backup_since = self.context.clock()
@@ -295,14 +303,14 @@
         self.backup = target
         _parts.log(stream.job, 'copy renewed', at=target.ident)
 
-    async def _show_next(
+    async def _forward_new_events(
         self, answer: calls.BackendAnswer, events: list[_events.Event]
     ) -> None:
         """Show the events that go on where the caller's stream stands."""
         data = b''
         gap = ''
         for event in events:
-            last = self.stream.last
+            last = self.stream.last_event_id
             if event.number is not None and last is not None:
                 if event.number <= last:
                     continue
@@ -310,24 +318,24 @@
                     gap = f'event {event.number} after {last}'
                     break
             if event.number is not None:
-                self.stream.last = event.number
+                self.stream.last_event_id = event.number
             data += event.data
         if data:
-            await self._show(answer, data)
+            await self._forward(answer, data)
         if gap:
-            raise StreamLostError(gap, gone=False)
+            raise StreamLostError(gap, unreachable=False)
 
-    async def _show(self, answer: calls.BackendAnswer, data: bytes) -> None:
+    async def _forward(self, answer: calls.BackendAnswer, data: bytes) -> None:
         now = self.context.clock()
-        if self.spoke:
-            self.pauses.add(now - self.shown_at)
-            if now - self.learnt_at > LEARN_S:
-                self._learn_pauses(now)
-        self.shown_at = now
-        if not self.spoke:
-            self.spoke = True
-            if self.unread is not None:
-                self.speeds.read(self.unread, self.stream.wanted, now)
+        if self.received_event:
+            self.pauses.add(now - self.last_event_at)
+            if now - self.pauses_reported_at > PAUSE_REPORT_INTERVAL_S:
+                self._report_pauses(now)
+        self.last_event_at = now
+        if not self.received_event:
+            self.received_event = True
+            if self.read_sample is not None:
+                self.speeds.read(self.read_sample, self.stream.wanted, now)
             self.context.placement.has_read(self.engine, self.reading)
             self.reading = 0
             self.stream.took(self.engine.ident)
@@ -340,46 +348,55 @@
         self.stream.shows()
         await out.write(data)
 
-    async def _chunk(self, answer: calls.BackendAnswer) -> bytes:
+    async def _next_chunk(self, answer: calls.BackendAnswer) -> bytes:
         silence = _liveness.SilenceTimer(self.context.clock)
         while True:
-            ask = self.patience.ask_after_s if self.spoke else FIRST_ASK_S
-            with contextlib.suppress(TimeoutError), silence.measure(ask):
-                async with asyncio.timeout(ask):
+            probe_after_s = (
+                self.stall_timeouts.ask_after_s
+                if self.received_event
+                else FIRST_ASK_S
+            )
+            with (
+                contextlib.suppress(TimeoutError),
+                silence.measure(probe_after_s),
+            ):
+                async with asyncio.timeout(probe_after_s):
                     return await self._read(answer)
-            if self.spoke:
-                self._check_silence(silence)
+            if self.received_event:
+                self._check_stall(silence)
             else:
-                self._check_first(silence)
+                self._check_first_event(silence)
             if not await self._is_alive(silence):
-                return await self._read_at_once(answer)
+                return await self._read_buffered(answer)
 
-    def _check_silence(self, silence: _liveness.SilenceTimer) -> None:
-        silent = silence.seconds
-        if silent > self._most_silent_s() or self.stream.left() <= 0:
-            raise StreamLostError(f'silent for {silent:.2f} s', gone=False)
+    def _check_stall(self, silence: _liveness.SilenceTimer) -> None:
+        stalled_s = silence.seconds
+        if stalled_s > self._stall_timeout_s() or self.stream.left() <= 0:
+            raise StreamLostError(
+                f'silent for {stalled_s:.2f} s', unreachable=False
+            )
 
-    async def _read_at_once(self, answer: calls.BackendAnswer) -> bytes:
+    async def _read_buffered(self, answer: calls.BackendAnswer) -> bytes:
         """Return what came while the engine was asked for a sign of life."""
         try:
             async with asyncio.timeout(0):
                 return await self._read(answer)
         except TimeoutError:
-            raise StreamLostError(NO_SIGN_OF_LIFE) from None
+            raise StreamLostError(NO_PROBE_ANSWER) from None
 
-    def _most_silent_s(self) -> float:
+    def _stall_timeout_s(self) -> float:
         if self._has_copy():
-            return self.patience.leave_with_copy_s()
+            return self.stall_timeouts.leave_with_copy_s()
         elsewhere_s = self.stream.estimate_capacity(self.engine.ident).first_s
-        return self.patience.leave_without_copy_s(elsewhere_s)
+        return self.stall_timeouts.leave_without_copy_s(elsewhere_s)
 
-    def _learn_pauses(self, now: float) -> None:
+    def _report_pauses(self, now: float) -> None:
         self.speeds.paused(self.stream.job.service, self.pauses, now)
-        self.learnt_at = now
-        self.patience = self._look_at_pauses()
-        self.pauses = decisions.Pauses(self.patience.usual_pause_s)
+        self.pauses_reported_at = now
+        self.stall_timeouts = self._make_stall_timeouts()
+        self.pauses = decisions.Pauses(self.stall_timeouts.usual_pause_s)
 
-    def _look_at_pauses(self) -> decisions.Patience:
+    def _make_stall_timeouts(self) -> decisions.Patience:
         wanted = self.stream.wanted
         common, usual = (
             self.speeds.pause_s(
@@ -388,7 +405,7 @@
                 self.context.clock(),
                 deviations,
             )
-            for deviations in (COMMON, USUAL)
+            for deviations in (COMMON_DEVIATIONS, USUAL_DEVIATIONS)
         )
         return decisions.Patience(
             common, usual, wanted.gap_s, _liveness.PROBE_TIMEOUT_S
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -34,7 +34,7 @@
         self.context = context
         self.job = job
         self.out = out
-        self.last = job.call.after
+        self.last_event_id = job.call.after
         self.tried: set[str] = set()
         self.runs = 0
         self.backup: decisions.Placed | None = None
@@ -50,7 +50,7 @@
         self.lost_at: float | None = None
         self.begun_at = context.clock()
         self.first_s: float | None = None
-        self.shown_at = 0.0
+        self.last_event_at = 0.0
         self.longest_pause_s = 0.0
         self.failed: calls.Reply | None = None
         self.tokens = job.call.prompt.tokens if job.call.prompt else 0
@@ -85,13 +85,13 @@
             engine, copy = await self._choose()
             if engine is None:
                 return self._end_early(reason, peer)
-            begun, last = self.context.clock(), self.last
+            begun, last = self.context.clock(), self.last_event_id
             try:
                 reply = await self._attempt(engine, copy)
             except _flow.StreamLostError as lost:
                 reason, peer = str(lost), engine.ident
                 lost.seconds = self.context.clock() - begun
-                lost.last_before = last
+                lost.event_id_before = last
                 await self._look_whether_gone(engine, lost)
                 self._learn_loss(engine, lost)
                 if not await self._may_repeat(lost):
@@ -103,7 +103,7 @@
                 return reply
 
     async def _wait_for_admission(self) -> _admission.Admission:
-        begun = self.last is not None
+        begun = self.last_event_id is not None
         return await _admission.wait_for_admission(
             self.context,
             self.job,
@@ -183,7 +183,11 @@
         return engine, None
 
     async def _may_repeat(self, lost: _flow.StreamLostError) -> bool:
-        begun = lost.gone or lost.reset or self.last != lost.last_before
+        begun = (
+            lost.unreachable
+            or lost.reset
+            or self.last_event_id != lost.event_id_before
+        )
         if not (lost.sent and begun) or lost.seconds < COPY_AFTER_S:
             # Nothing can lie at the backup yet; asking would cost a refusal.
             self.backup = self.copy = None
@@ -216,16 +220,16 @@
             self.first_s = now - self.begun_at
             self.context.metrics.time('streams.first', self.first_s)
         else:
-            pause = now - self.shown_at
+            pause = now - self.last_event_at
             self.longest_pause_s = max(self.longest_pause_s, pause)
-        self.shown_at = now
+        self.last_event_at = now
 
     def _log_end(self, outcome: str, **fields: t.Any) -> None:
         first_s = self.first_s
         _parts.log(
             self.job,
             outcome,
-            last=self.last,
+            last=self.last_event_id,
             lost_runs=self.runs,
             first_s=None if first_s is None else round(first_s, 3),
             longest_pause_s=round(self.longest_pause_s, 3),
@@ -261,14 +265,14 @@
         engine.memory += self.memory
         if backup is not None:
             backup.memory += self.memory
-        flow = _flow.Flow(self, engine, copy, backup, reading)
+        flow = _flow.EngineStream(self, engine, copy, backup, reading)
         _parts.log(
             self.job,
             'stream placed',
             engine=engine.ident,
             copy=copy.address if copy else '',
             backup=backup.ident if backup else '',
-            last=self.last,
+            last=self.last_event_id,
             reading=engine.reading + engine.others.reading,
             running=engine.inflight + engine.others.running,
             memory=engine.memory + engine.others.memory,
@@ -311,17 +315,17 @@
         if lost.reset and await self.context.client.alive(
             engine.address, _liveness.PROBE_TIMEOUT_S
         ):
-            lost.gone = False
+            lost.unreachable = False
 
     def _learn_loss(
         self, engine: decisions.Placed, lost: _flow.StreamLostError
     ) -> None:
         now = self.context.clock()
-        self.context.placement.failed(engine.ident, now, gone=lost.gone)
+        self.context.placement.failed(engine.ident, now, gone=lost.unreachable)
         self.context.metrics.count('engines.lost')
-        if lost.gone:
+        if lost.unreachable:
             self.lost_data_centre = engine.data_centre
-        if lost.gone and lost.sent:
+        if lost.unreachable and lost.sent:
             self.context.crashers.died(self.job.fingerprint, engine.ident, now)
         if self.out.begun and self.lost_at is None:
             self.lost_at = now
@@ -330,8 +334,8 @@
             'engine lost',
             engine=engine.ident,
             reason=str(lost),
-            last=self.last,
-            gone=lost.gone,
+            last=self.last_event_id,
+            gone=lost.unreachable,
         )
 
     def took(self, ident: str) -> None:
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -170,7 +170,7 @@
     streams = 'bulrushhold.forwarding._streams'
     monkeypatch.setattr(f'{streams}.COPY_AFTER_S', 0.0)
     flow = 'bulrushhold.forwarding._flow'
-    monkeypatch.setattr(f'{flow}.RENEW_S', 0.05)
+    monkeypatch.setattr(f'{flow}.COPY_RENEWAL_S', 0.05)
     capacity = parts.placement.capacity
     capacity['engines'] = 9000
     answer = fakes.FakeAnswer.chunk
@@ -237,7 +237,7 @@
 
     monkeypatch.setattr(client, 'copy_run', copy_run)
     monkeypatch.setattr(fakes.FakeAnswer, 'chunk', chunk)
-    monkeypatch.setattr('bulrushhold.forwarding._flow.RENEW_S', 0.02)
+    monkeypatch.setattr('bulrushhold.forwarding._flow.COPY_RENEWAL_S', 0.02)
     monkeypatch.setattr('bulrushhold.forwarding._streams.COPY_AFTER_S', 0.0)
     client.scripts = [
         fakes.Script(events=(1, 2), then='crash'),
