--- a/src/bulrushhold/forwarding/_fleet.py
+++ b/src/bulrushhold/forwarding/_fleet.py
@@ -20,7 +20,7 @@
 HOLD_S: t.Final = 0.3
 # Over a hold by what a reply takes on a slow link and a busy leader.
 REPLY_S: t.Final = 0.5
-PAUSE_S: t.Final = 0.05
+RETRY_PAUSE_S: t.Final = 0.05
 # Until a report of lost engines is sent again.
 EVENTS_S: t.Final = 0.3
 # A data centre's engines are lost within a few ms; one message tells them.
@@ -121,7 +121,7 @@
                 self.servers.failed(address, time.monotonic())
             if not answered:
                 self.server = ''
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _watch(self, address: str) -> bool:
         """Poll a control process; return whether control answers there."""
--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -149,7 +149,7 @@
             self.engine.address,
             self.engine.ident,
             self.stream.job.account,
-            self.stream.left(),
+            self.stream.remaining_s(),
             after=self.stream.last_event_id,
             backup=self.backup.address if self.backup else '',
             copy=self.copy,
@@ -194,7 +194,7 @@
 
     def _check_first_event(self, silence: _liveness.SilenceTimer) -> None:
         waited = silence.seconds
-        if self.stream.left() <= 0:
+        if self.stream.remaining_s() <= 0:
             raise StreamLostError('no event in time', unreachable=False)
         elsewhere_s = self.stream.estimate_capacity(self.engine.ident).first_s
         if waited > decisions.leave_unread_s(
@@ -219,7 +219,7 @@
         reply = calls.Reply(head.status, head.headers, body)
         if head.status < 500 or not self.stream.job.route.repeatable:
             return reply
-        self.stream.failed = reply
+        self.stream.failure_reply = reply
         raise StreamLostError(f'failed with {head.status}', unreachable=False)
 
     async def _relay(self, answer: calls.BackendAnswer) -> None:
@@ -238,11 +238,11 @@
             raise StreamLostError(
                 'ended in the middle of an event', unreachable=False
             )
-        if not self.stream.out.begun:
-            await self.stream.out.begin(
+        if not self.stream.caller_stream.begun:
+            await self.stream.caller_stream.begin(
                 answer.head.status, answer.head.headers
             )
-        await self.stream.out.end()
+        await self.stream.caller_stream.end()
 
     def _ensure_copy(self) -> None:
         """Have a copy made where there is none, or none any more.
@@ -338,15 +338,15 @@
                 self.speeds.read(self.read_sample, self.stream.wanted, now)
             self.context.placement.has_read(self.engine, self.reading)
             self.reading = 0
-            self.stream.took(self.engine.ident)
+            self.stream.record_resumption(self.engine.ident)
             self.context.placement.read(
-                self.stream.part, self.engine.ident, now
+                self.stream.last_segment, self.engine.ident, now
             )
-        out = self.stream.out
-        if not out.begun:
-            await out.begin(answer.head.status, answer.head.headers)
-        self.stream.shows()
-        await out.write(data)
+        caller_stream = self.stream.caller_stream
+        if not caller_stream.begun:
+            await caller_stream.begin(answer.head.status, answer.head.headers)
+        self.stream.record_event_sent()
+        await caller_stream.write(data)
 
     async def _next_chunk(self, answer: calls.BackendAnswer) -> bytes:
         silence = _liveness.SilenceTimer(self.context.clock)
@@ -371,7 +371,10 @@
 
     def _check_stall(self, silence: _liveness.SilenceTimer) -> None:
         stalled_s = silence.seconds
-        if stalled_s > self._stall_timeout_s() or self.stream.left() <= 0:
+        if (
+            stalled_s > self._stall_timeout_s()
+            or self.stream.remaining_s() <= 0
+        ):
             raise StreamLostError(
                 f'silent for {stalled_s:.2f} s', unreachable=False
             )
--- a/src/bulrushhold/forwarding/_forwarder.py
+++ b/src/bulrushhold/forwarding/_forwarder.py
@@ -37,7 +37,7 @@
         self.ends_at = float('inf')
 
     async def handle(
-        self, call: calls.Call, out: calls.CallerStream
+        self, call: calls.Call, caller_stream: calls.CallerStream
     ) -> calls.Reply | None:
         """Serve one request; ``None`` where the answer went to ``out``.
 
@@ -49,7 +49,9 @@
                 await self._wait_for_start(call)
             job = self._accept(call, begun)
             if job.route.kind is routes.Kind.STREAM:
-                reply = await _streams.StreamRun(self.context, job, out).run()
+                reply = await _streams.StreamRun(
+                    self.context, job, caller_stream
+                ).run()
             else:
                 reply = await _plain.PlainRun(self.context, job).run()
         except errors.RequestError as error:
--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -16,9 +16,9 @@
 PATIENCE: t.Final = 6.0
 LEAST_PATIENCE_S: t.Final = 0.12
 # All servers are full or away: a place is free again within one request.
-PAUSE_S: t.Final = 0.04
+RETRY_PAUSE_S: t.Final = 0.04
 # Below this much time left a server can't answer any more.
-LEAST_LEFT_S: t.Final = 0.01
+MIN_REMAINING_S: t.Final = 0.01
 
 
 @attrs.frozen
@@ -60,7 +60,7 @@
             if last.reply is not None and last.reply.status < 500:
                 return last.reply
             done = last.ran is not errors.Ran.NO and not self.repeatable
-            if done or not await self._may_repeat(last):
+            if done or not await self._may_retry(last):
                 if last.reply is not None:
                     return last.reply
                 raise self._failure(last, backend.ident)
@@ -69,7 +69,7 @@
         return self.job.end - self.context.clock()
 
     def _choose(self) -> decisions.Placed | None:
-        if self._left() < LEAST_LEFT_S:
+        if self._left() < MIN_REMAINING_S:
             return None
         return self.context.placement.choose(
             self.job.service,
@@ -78,16 +78,16 @@
             tried=self.tried,
         )
 
-    async def _may_repeat(self, last: _Result) -> bool:
+    async def _may_retry(self, last: _Result) -> bool:
         if last.ran is not errors.Ran.NO:
             self.attempts += 1
         if self.attempts >= self.job.route.max_attempts:
             return False
         usable = self.context.placement.usable(self.job.service)
         if all(b.ident in self.tried for b in usable):
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
             self.tried.clear()
-        if self._left() < LEAST_LEFT_S:
+        if self._left() < MIN_REMAINING_S:
             return False
         if self.context.budget.take(self.job.service, self.context.clock()):
             return True
@@ -102,7 +102,7 @@
             return _parts.refuse(self.job, 'no backend server is there')
         if last.ran is errors.Ran.NO and not self.attempts:
             return _parts.refuse(self.job, last.reason)
-        late = self._left() < LEAST_LEFT_S
+        late = self._left() < MIN_REMAINING_S
         return _parts.give_up(self.job, last.reason, ident, late=late)
 
     async def _attempt(self, backend: decisions.Placed) -> _Result:
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -15,8 +15,8 @@
 # An engine sends its run's memory to the backup several times a second.
 COPY_AFTER_S: t.Final = 0.3
 # All engines are full or away: places come free several times a second.
-PAUSE_S: t.Final = 0.05
-LEAST_LEFT_S: t.Final = 0.05
+RETRY_PAUSE_S: t.Final = 0.05
+MIN_REMAINING_S: t.Final = 0.05
 # A prompt larger than any engine's memory is served only once operators have
 # put up larger ones; callers leave long before.
 TOO_LARGE_RETRY_S: t.Final = 60.0
@@ -29,14 +29,17 @@
     """
 
     def __init__(
-        self, context: _parts.Parts, job: _parts.Job, out: calls.CallerStream
+        self,
+        context: _parts.Parts,
+        job: _parts.Job,
+        caller_stream: calls.CallerStream,
     ) -> None:
         self.context = context
         self.job = job
-        self.out = out
+        self.caller_stream = caller_stream
         self.last_event_id = job.call.after
         self.tried: set[str] = set()
-        self.runs = 0
+        self.lost_runs = 0
         self.backup: decisions.Placed | None = None
         self.backup_since = 0.0
         self.copy: calls.RunCopy | None = None
@@ -47,12 +50,12 @@
             prompt.tokens + prompt.output_tokens // 2 if prompt else 0
         )
         self.lost_data_centre = ''
-        self.lost_at: float | None = None
-        self.begun_at = context.clock()
+        self.interrupted_at: float | None = None
+        self.started_at = context.clock()
         self.first_s: float | None = None
         self.last_event_at = 0.0
         self.longest_pause_s = 0.0
-        self.failed: calls.Reply | None = None
+        self.failure_reply: calls.Reply | None = None
         self.tokens = job.call.prompt.tokens if job.call.prompt else 0
         self.wanted = decisions.Wanted(
             self.tokens,
@@ -60,7 +63,7 @@
             job.route.gap_s or job.route.aim_s or job.route.timeout_s,
         )
         segments = job.call.prompt.parts if job.call.prompt else ()
-        self.part = segments[-1] if segments else ''
+        self.last_segment = segments[-1] if segments else ''
 
     async def run(self) -> calls.Reply | None:
         """Return a reply, or ``None`` where the stream went out.
@@ -72,19 +75,20 @@
         except (asyncio.CancelledError, ConnectionError):
             # Without a line of its own a stream that nobody waits for any
             # more couldn't be told from one that was lost.
-            left = not self.out.connected
+            disconnected = not self.caller_stream.connected
             self._log_end(
-                'stream left', reason='caller left' if left else 'entry ends'
+                'stream left',
+                reason='caller left' if disconnected else 'entry ends',
             )
             raise
 
     async def _run(self) -> calls.Reply | None:
         reason, peer = 'no engine is there', ''
-        await self._enter()
+        await self._wait_for_first_engine()
         while True:
             engine, copy = await self._choose()
             if engine is None:
-                return self._end_early(reason, peer)
+                return self._end_incomplete(reason, peer)
             begun, last = self.context.clock(), self.last_event_id
             try:
                 reply = await self._attempt(engine, copy)
@@ -92,10 +96,10 @@
                 reason, peer = str(lost), engine.ident
                 lost.seconds = self.context.clock() - begun
                 lost.event_id_before = last
-                await self._look_whether_gone(engine, lost)
-                self._learn_loss(engine, lost)
-                if not await self._may_repeat(lost):
-                    return self._end_early(reason, peer)
+                await self._check_reachable(engine, lost)
+                self._record_loss(engine, lost)
+                if not await self._may_retry(lost):
+                    return self._end_incomplete(reason, peer)
             else:
                 if reply is None:
                     self.context.crashers.served(self.job.fingerprint)
@@ -108,11 +112,11 @@
             self.context,
             self.job,
             self.estimate_capacity,
-            since=self.context.clock() if begun else self.begun_at,
+            since=self.context.clock() if begun else self.started_at,
             begun=begun,
         )
 
-    async def _enter(self) -> None:
+    async def _wait_for_first_engine(self) -> None:
         """Wait until an engine can take the stream for the first time.
 
         :raises RequestError: where that would take too long.
@@ -121,9 +125,9 @@
             raise self._refuse(
                 f'no engine holds {self.tokens} tokens', TOO_LARGE_RETRY_S
             )
-        returns = self.job.call.after is not None
-        if returns and await _prompts.find_prompt(
-            self.context, self.job, self.part
+        resumes = self.job.call.after is not None
+        if resumes and await _prompts.find_prompt(
+            self.context, self.job, self.last_segment
         ):
             # Nothing is to be read that others would have to wait for.
             return
@@ -151,14 +155,14 @@
             but=but,
         )
 
-    def left(self) -> float:
+    def remaining_s(self) -> float:
         return self.job.end - self.context.clock()
 
     async def _choose(
         self,
     ) -> tuple[decisions.Placed | None, calls.RunCopy | None]:
         """Return the engine to go to, and the copy that it goes on from."""
-        if self.left() < LEAST_LEFT_S:
+        if self.remaining_s() < MIN_REMAINING_S:
             return None, None
         backup, copy = self.backup, self.copy
         self.backup = self.copy = None
@@ -169,20 +173,20 @@
             and self.context.placement.keeps_copy(backup, self.backup_since)
         ):
             return backup, copy or calls.RunCopy(backup.address)
-        if self.runs and not (await self._wait_for_admission()).comes:
+        if self.lost_runs and not (await self._wait_for_admission()).comes:
             return None, None
         now = self.context.clock()
         engine = self.context.placement.choose_engine(
             self.job.service,
             now,
             tokens=self.tokens,
-            part=self.part,
+            part=self.last_segment,
             tried=self.tried,
             avoid_data_centre=self.lost_data_centre,
         )
         return engine, None
 
-    async def _may_repeat(self, lost: _flow.StreamLostError) -> bool:
+    async def _may_retry(self, lost: _flow.StreamLostError) -> bool:
         begun = (
             lost.unreachable
             or lost.reset
@@ -192,32 +196,34 @@
             # Nothing can lie at the backup yet; asking would cost a refusal.
             self.backup = self.copy = None
         if lost.sent:
-            self.runs += 1
+            self.lost_runs += 1
             if not self.job.route.repeatable:
                 return False
-        if self.runs >= self.job.route.max_attempts:
+        if self.lost_runs >= self.job.route.max_attempts:
             return False
         usable = self.context.placement.usable(self.job.service)
         if all(b.ident in self.tried for b in usable):
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
             self.tried.clear()
-        if self.left() < LEAST_LEFT_S:
+        if self.remaining_s() < MIN_REMAINING_S:
             return False
         if self.context.budget.take(
             self.job.service,
             self.context.clock(),
-            begun=self.out.begun,
+            begun=self.caller_stream.begun,
         ):
             return True
         self.context.metrics.count('repeats.refused')
-        _parts.log(self.job, 'repeat budget spent', begun=self.out.begun)
+        _parts.log(
+            self.job, 'repeat budget spent', begun=self.caller_stream.begun
+        )
         return False
 
-    def shows(self) -> None:
+    def record_event_sent(self) -> None:
         """Learn that events go out to the caller now."""
         now = self.context.clock()
         if self.first_s is None:
-            self.first_s = now - self.begun_at
+            self.first_s = now - self.started_at
             self.context.metrics.time('streams.first', self.first_s)
         else:
             pause = now - self.last_event_at
@@ -230,24 +236,24 @@
             self.job,
             outcome,
             last=self.last_event_id,
-            lost_runs=self.runs,
+            lost_runs=self.lost_runs,
             first_s=None if first_s is None else round(first_s, 3),
             longest_pause_s=round(self.longest_pause_s, 3),
-            seconds=round(self.context.clock() - self.begun_at, 3),
+            seconds=round(self.context.clock() - self.started_at, 3),
             **fields,
         )
 
-    def _end_early(self, reason: str, peer: str) -> calls.Reply | None:
+    def _end_incomplete(self, reason: str, peer: str) -> calls.Reply | None:
         self._log_end('stream ended early', reason=reason, peer=peer)
         self.context.metrics.count('streams.broken')
-        if self.out.begun:
-            self.out.cut()
+        if self.caller_stream.begun:
+            self.caller_stream.cut()
             return None
-        if self.failed is not None:
-            return self.failed
-        if not self.runs:
+        if self.failure_reply is not None:
+            return self.failure_reply
+        if not self.lost_runs:
             raise _parts.refuse(self.job, reason)
-        late = self.left() < LEAST_LEFT_S
+        late = self.remaining_s() < MIN_REMAINING_S
         raise _parts.give_up(self.job, reason, peer, late=late)
 
     # One engine
@@ -303,7 +309,7 @@
             overloaded=self.context.admission.overloaded(now),
         )
 
-    async def _look_whether_gone(
+    async def _check_reachable(
         self, engine: decisions.Placed, lost: _flow.StreamLostError
     ) -> None:
         """Tell a dead engine from one that lost an answer.
@@ -317,7 +323,7 @@
         ):
             lost.unreachable = False
 
-    def _learn_loss(
+    def _record_loss(
         self, engine: decisions.Placed, lost: _flow.StreamLostError
     ) -> None:
         now = self.context.clock()
@@ -327,8 +333,8 @@
             self.lost_data_centre = engine.data_centre
         if lost.unreachable and lost.sent:
             self.context.crashers.died(self.job.fingerprint, engine.ident, now)
-        if self.out.begun and self.lost_at is None:
-            self.lost_at = now
+        if self.caller_stream.begun and self.interrupted_at is None:
+            self.interrupted_at = now
         _parts.log(
             self.job,
             'engine lost',
@@ -338,15 +344,17 @@
             gone=lost.unreachable,
         )
 
-    def took(self, ident: str) -> None:
+    def record_resumption(self, ident: str) -> None:
         """Learn that events are coming from an engine."""
         now = self.context.clock()
-        if self.lost_at is not None:
-            self.context.metrics.time('streams.resumed', now - self.lost_at)
+        if self.interrupted_at is not None:
+            self.context.metrics.time(
+                'streams.resumed', now - self.interrupted_at
+            )
             _parts.log(
                 self.job,
                 'stream resumed',
                 engine=ident,
-                seconds=round(now - self.lost_at, 3),
+                seconds=round(now - self.interrupted_at, 3),
             )
-            self.lost_at = None
+            self.interrupted_at = None
