--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -13,8 +13,8 @@
 
 # An idempotent request that waits this many times the mean is taken to
 # another server: at 6 a server's own slow answers, one in a hundred, pass.
-PATIENCE: t.Final = 6.0
-LEAST_PATIENCE_S: t.Final = 0.12
+STALL_FACTOR: t.Final = 6.0
+MIN_STALL_TIMEOUT_S: t.Final = 0.12
 # All servers are full or away: a place is free again within one request.
 RETRY_PAUSE_S: t.Final = 0.04
 # Below this much time left a server can't answer any more.
@@ -59,17 +59,19 @@
             last = await self._attempt(backend)
             if last.reply is not None and last.reply.status < 500:
                 return last.reply
-            done = last.ran is not errors.Ran.NO and not self.repeatable
-            if done or not await self._may_retry(last):
+            may_have_run = (
+                last.ran is not errors.Ran.NO and not self.repeatable
+            )
+            if may_have_run or not await self._may_retry(last):
                 if last.reply is not None:
                     return last.reply
                 raise self._failure(last, backend.ident)
 
-    def _left(self) -> float:
+    def _remaining_s(self) -> float:
         return self.job.end - self.context.clock()
 
     def _choose(self) -> decisions.Placed | None:
-        if self._left() < MIN_REMAINING_S:
+        if self._remaining_s() < MIN_REMAINING_S:
             return None
         return self.context.placement.choose(
             self.job.service,
@@ -87,7 +89,7 @@
         if all(b.ident in self.tried for b in usable):
             await asyncio.sleep(RETRY_PAUSE_S)
             self.tried.clear()
-        if self._left() < MIN_REMAINING_S:
+        if self._remaining_s() < MIN_REMAINING_S:
             return False
         if self.context.budget.take(self.job.service, self.context.clock()):
             return True
@@ -102,12 +104,12 @@
             return _parts.refuse(self.job, 'no backend server is there')
         if last.ran is errors.Ran.NO and not self.attempts:
             return _parts.refuse(self.job, last.reason)
-        late = self._left() < MIN_REMAINING_S
+        late = self._remaining_s() < MIN_REMAINING_S
         return _parts.give_up(self.job, last.reason, ident, late=late)
 
     async def _attempt(self, backend: decisions.Placed) -> _Result:
         self.tried.add(backend.ident)
-        begun = self.context.clock()
+        started = self.context.clock()
         backend.inflight += 1
         task = asyncio.ensure_future(self._exchange(backend))
         try:
@@ -120,24 +122,28 @@
                 # the request, or both work on it.
                 with contextlib.suppress(asyncio.CancelledError):
                     await task
-        self._judge(backend, result, self.context.clock() - begun)
+        self._record_result(backend, result, self.context.clock() - started)
         return result
 
     async def _wait(
         self, task: 'asyncio.Future[_Result]', backend: decisions.Placed
     ) -> _Result:
-        if self.repeatable and self._another_allowed():
-            usual = backend.latency or self.job.route.aim_s / 2
-            patience = max(LEAST_PATIENCE_S, PATIENCE * usual)
-            await asyncio.wait({task}, timeout=min(patience, self._left() / 2))
+        if self.repeatable and self._can_switch():
+            expected_s = backend.latency or self.job.route.aim_s / 2
+            stall_timeout_s = max(
+                MIN_STALL_TIMEOUT_S, STALL_FACTOR * expected_s
+            )
+            await asyncio.wait(
+                {task}, timeout=min(stall_timeout_s, self._remaining_s() / 2)
+            )
             if not task.done():
                 return _Result(errors.Ran.UNKNOWN, 'no answer yet')
-        await asyncio.wait({task}, timeout=max(0.0, self._left()))
+        await asyncio.wait({task}, timeout=max(0.0, self._remaining_s()))
         if task.done():
             return task.result()
         return _Result(errors.Ran.UNKNOWN, 'no answer in time')
 
-    def _another_allowed(self) -> bool:
+    def _can_switch(self) -> bool:
         """Whether leaving a slow server leads anywhere."""
         others = self.context.placement.usable(self.job.service)
         return self.attempts + 1 < self.job.route.max_attempts and any(
@@ -149,7 +155,7 @@
             backend.address,
             backend.ident,
             self.job.account,
-            self._left(),
+            self._remaining_s(),
             fresh=not self.repeatable,
         )
         answer = None
@@ -177,12 +183,12 @@
             if answer is not None:
                 answer.close()
 
-    def _judge(
+    def _record_result(
         self, backend: decisions.Placed, result: _Result, seconds: float
     ) -> None:
         now = self.context.clock()
-        good = result.reply is not None and result.reply.status < 500
-        if good:
+        succeeded = result.reply is not None and result.reply.status < 500
+        if succeeded:
             self.context.placement.succeeded(backend.ident, now, seconds)
             return
         unreachable = (
