--- a/src/bulrushhold/forwarding/_fleet.py
+++ b/src/bulrushhold/forwarding/_fleet.py
@@ -17,22 +17,22 @@
 from bulrushhold import ports
 from bulrushhold import routes
 
-HOLD_S: t.Final = 0.3
+LONG_POLL_S: t.Final = 0.3
 # Over a hold by what a reply takes on a slow link and a busy leader.
-REPLY_S: t.Final = 0.5
+REPLY_MARGIN_S: t.Final = 0.5
 RETRY_PAUSE_S: t.Final = 0.05
 # Until a report of lost engines is sent again.
-EVENTS_S: t.Final = 0.3
+URGENT_REPORT_TIMEOUT_S: t.Final = 0.3
 # A data centre's engines are lost within a few ms; one message tells them.
-SHARE_S: t.Final = 0.01
+REPORT_INTERVAL_S: t.Final = 0.01
 # Again without news: a new leader has heard nothing, and the traffic ages.
-SHARE_AGAIN_S: t.Final = 1.0
+REPORT_REFRESH_S: t.Final = 1.0
 # Without news of backends for this long an entry reads the list itself: a
 # server that leaves must get no new request after 3 s.
-LIST_STALE_S: t.Final = 1.2
+LIST_MAX_AGE_S: t.Final = 1.2
 LIST_TIMEOUT_S: t.Final = 1.0
 # Control needs as long for an election after a start of all.
-FIRST_LIST_S: t.Final = 0.9
+FIRST_LIST_DELAY_S: t.Final = 0.9
 # Calls a second to the list that entries may make together in that case.
 LIST_CALLS_PER_S: t.Final = 12.0
 
@@ -50,7 +50,7 @@
         me: messages.ListedEntry,
         seeds: list[str],
         transport: ports.Transport,
-        source: ports.BackendList,
+        backend_list: ports.BackendList,
         placement: decisions.Placement,
         budget: decisions.RepeatBudget,
         crashers: decisions.Crashers,
@@ -58,7 +58,7 @@
     ) -> None:
         self.me = me
         self.transport = transport
-        self.source = source
+        self.backend_list = backend_list
         self.placement = placement
         self.budget = budget
         self.crashers = crashers
@@ -75,9 +75,9 @@
         self.nodes_version = ''
         self.loads_number = 0
         self.started = asyncio.Event()
-        self.seen = asyncio.Event()
-        placement.on_news = self.seen.set
-        self.changed: list[cabc.Callable[[], None]] = []
+        self.load_changed = asyncio.Event()
+        placement.on_news = self.load_changed.set
+        self.on_change: list[cabc.Callable[[], None]] = []
 
     @property
     def map_version(self) -> int:
@@ -111,7 +111,7 @@
         while True:
             address = self.servers.choose(self.server, time.monotonic())
             try:
-                answered = await self._watch(address)
+                answered = await self._poll(address)
             except errors.PeerError as error:
                 answered = False
                 if self.server == address:
@@ -123,27 +123,27 @@
                 self.server = ''
                 await asyncio.sleep(RETRY_PAUSE_S)
 
-    async def _watch(self, address: str) -> bool:
+    async def _poll(self, address: str) -> bool:
         """Poll a control process; return whether control answers there."""
         if address != self.server:
             # Numbers of another process's summaries mean nothing here.
             self.loads_number = 0
         reply = await self.transport.request(
-            address, self._watch_request(), HOLD_S + REPLY_S
+            address, self._poll_request(), LONG_POLL_S + REPLY_MARGIN_S
         )
         self.servers.learn(reply)
-        self._take_loads(reply.loads, address)
+        self._apply_loads(reply.loads, address)
         if reply.status != 'done':
             self.servers.not_in_touch(address, reply.leader, time.monotonic())
             return False
         if self.server != address:
             self.server = address
             node.log_decision('control found', peer=address)
-            self.seen.set()
+            self.load_changed.set()
         self._take(reply)
         return True
 
-    def _watch_request(self) -> messages.Watch:
+    def _poll_request(self) -> messages.Watch:
         ready = self.ready and self.me.ready
         return messages.Watch(
             attrs.evolve(self.me, ready=ready),
@@ -153,24 +153,24 @@
                 self.entries_version,
                 self.nodes_version,
             ),
-            HOLD_S,
+            LONG_POLL_S,
             self.loads_number,
         )
 
     def _take(self, reply: messages.WatchReply) -> None:
         if reply.route_map is not None:
-            self._take_map(messages.unpack_map(reply.route_map))
-        self._take_list(reply)
+            self._apply_map(messages.unpack_map(reply.route_map))
+        self._apply_list(reply)
         if messages.is_newer(reply.entries_version, self.entries_version):
             self.entries_version = reply.entries_version
             self.entries = reply.entries or []
         if reply.nodes is not None:
             self.nodes_version = reply.nodes_version
         self.budget.entries = self.count()
-        for hook in self.changed:
+        for hook in self.on_change:
             hook()
 
-    def _take_list(self, reply: messages.WatchReply) -> None:
+    def _apply_list(self, reply: messages.WatchReply) -> None:
         """Take the list, unless it is older than what this entry has.
 
         A control process that is out of touch with the leader would bring
@@ -184,11 +184,11 @@
             else read_at > self.backends_at
         ):
             self.backends_version = version
-            self._take_backends(reply.backends)
+            self._apply_backends(reply.backends)
         if version and version == self.backends_version:
             self.backends_at = max(self.backends_at, read_at)
 
-    def _take_loads(
+    def _apply_loads(
         self, summary: messages.LoadSummary | None, address: str
     ) -> None:
         now = time.monotonic()
@@ -210,26 +210,28 @@
         """Report what this entry has running, as it changes."""
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(SHARE_AGAIN_S):
-                    await self.seen.wait()
-            self.seen.clear()
+                async with asyncio.timeout(REPORT_REFRESH_S):
+                    await self.load_changed.wait()
+            self.load_changed.clear()
             if self.server:
                 await self._report(self._load_report(time.monotonic()))
-            await asyncio.sleep(SHARE_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
     async def _report(self, report: messages.LoadReport) -> None:
         if not report.urgent:
             self.transport.send(self.server, report)
             return
         try:
-            await self.transport.request(self.server, report, EVENTS_S)
+            await self.transport.request(
+                self.server, report, URGENT_REPORT_TIMEOUT_S
+            )
         except errors.PeerError as error:
             loguru.logger.bind(peer=self.server, error=str(error)).warning(
                 'events not acknowledged'
             )
             self.placement.report_again(report)
             self.crashers.report_again(report.crashes)
-            self.seen.set()
+            self.load_changed.set()
 
     def _load_report(self, now: float) -> messages.LoadReport:
         self.crashers.settle(now)
@@ -242,7 +244,7 @@
             crashes=self.crashers.take_pending(),
         )
 
-    def _take_map(self, route_map: routes.RouteMap) -> None:
+    def _apply_map(self, route_map: routes.RouteMap) -> None:
         # Forward only: a reply that was overtaken on its way must not bring
         # back what operators have replaced.
         if route_map.version > self.map_version:
@@ -251,12 +253,12 @@
                 service.name: service.memory_tokens
                 for service in route_map.services
             }
-            self._look_whether_started()
+            self._signal_if_ready()
             node.log_decision('route map', version=route_map.version)
 
-    def _take_backends(self, backends: list[messages.ListedBackend]) -> None:
+    def _apply_backends(self, backends: list[messages.ListedBackend]) -> None:
         self.placement.update(backends)
-        self._look_whether_started()
+        self._signal_if_ready()
         node.log_decision(
             'backends',
             version=self.backends_version,
@@ -264,7 +266,7 @@
             leaving=sum(b.leaving for b in backends),
         )
 
-    def _look_whether_started(self) -> None:
+    def _signal_if_ready(self) -> None:
         if self.ready:
             self.started.set()
 
@@ -272,21 +274,21 @@
 
     async def read_list_alone(self) -> None:
         """Read the platform's list while control gives no news of it."""
-        pause = FIRST_LIST_S
+        pause = FIRST_LIST_DELAY_S
         while True:
             await asyncio.sleep(pause * (0.75 + random.random() / 2))
             pause = max(1.0, self.count() / LIST_CALLS_PER_S)
-            if time.monotonic() - self.backends_at < LIST_STALE_S:
+            if time.monotonic() - self.backends_at < LIST_MAX_AGE_S:
                 continue
             with contextlib.suppress(TimeoutError, errors.PeerError):
                 async with asyncio.timeout(LIST_TIMEOUT_S):
-                    backends = await self.source.fetch()
+                    backends = await self.backend_list.fetch()
                 self.backends_version = ''
-                self._take_backends(backends)
+                self._apply_backends(backends)
 
     # Where callers are to connect
 
-    def addresses(self, most: int) -> list[str]:
+    def addresses(self, limit: int) -> list[str]:
         """Return addresses of ready entries, in a random order.
 
         :param most: how many; others are drawn for the next caller, so
@@ -298,4 +300,4 @@
         elif not self.me.ready and self.me.callers in ready:
             ready.remove(self.me.callers)
         random.shuffle(ready)
-        return ready[:most]
+        return ready[:limit]
--- a/tests/forwarding/test_fleet.py
+++ b/tests/forwarding/test_fleet.py
@@ -106,7 +106,7 @@
         if len(asked) >= 40:
             raise asyncio.CancelledError
 
-    fleet._watch = watch
+    fleet._poll = watch
     with pytest.raises(asyncio.CancelledError):
         await fleet.follow()
     assert asked.count('frozen') <= 1
