--- a/src/bulrushhold/forwarding/_admission.py
+++ b/src/bulrushhold/forwarding/_admission.py
@@ -11,25 +11,25 @@
 
 
 @attrs.frozen
-class Admission:
+class AdmissionResult:
     """What admission control decided in the end.
 
     :param comes: an engine can take the stream now.
     :param retry_after_s: when its caller may try again, if none can.
     """
 
-    comes: bool
+    admitted: bool
     retry_after_s: float
 
 
 async def wait_for_admission(
     context: _parts.Parts,
     job: _parts.Job,
-    look: cabc.Callable[[], decisions.CapacityEstimate],
+    estimate_capacity: cabc.Callable[[], decisions.CapacityEstimate],
     *,
-    since: float,
+    waiting_since: float,
     begun: bool,
-) -> Admission:
+) -> AdmissionResult:
     """Wait until an engine can take a stream without delay to others.
 
     :param look: estimates what engines could do for it.
@@ -37,21 +37,21 @@
     :param begun: the caller has a part of it.
     """
     admission, service = context.admission, job.service
-    now = began = context.clock()
+    now = started = context.clock()
     outcome = decisions.AdmissionDecision.WAIT
     admission.waiting[service] += 1
     try:
         while True:
-            estimate = look()
+            estimate = estimate_capacity()
             entries = context.budget.entries
             queue_s = admission.queue_s(service, estimate, entries, now)
             outcome = admission.decide(
                 estimate,
-                waited_s=now - since,
-                left_s=job.end - now,
+                waited_s=now - waiting_since,
+                left_s=job.deadline - now,
                 aim_s=job.route.aim_s,
                 queue_s=queue_s,
-                arrives=now == began,
+                arrives=now == started,
                 begun=begun,
             )
             if outcome is decisions.AdmissionDecision.PLACE:
@@ -62,7 +62,7 @@
                     outcome = decisions.AdmissionDecision.WAIT
             if outcome is not decisions.AdmissionDecision.WAIT:
                 break
-            if now == began:
+            if now == started:
                 context.placement.on_news()
             admission.held(now)
             await asyncio.sleep(
@@ -71,15 +71,15 @@
             now = context.clock()
     finally:
         admission.waiting[service] -= 1
-    if now > began:
+    if now > started:
         _parts.log(
             job,
             'stream held',
-            seconds=round(now - began, 3),
+            seconds=round(now - started, 3),
             outcome=outcome.value,
             first_s=round(estimate.first_s, 2),
             engines=estimate.engines,
             waiting=admission.waiting[service],
         )
-    comes = outcome is decisions.AdmissionDecision.PLACE
-    return Admission(comes, decisions.retry_after_s(queue_s))
+    admitted = outcome is decisions.AdmissionDecision.PLACE
+    return AdmissionResult(admitted, decisions.retry_after_s(queue_s))
--- a/src/bulrushhold/forwarding/_events.py
+++ b/src/bulrushhold/forwarding/_events.py
@@ -9,8 +9,8 @@
 
 from bulrushhold import errors
 
-_END = b'\n\n'
-_ID = b'id:'
+_EVENT_END = b'\n\n'
+_ID_FIELD = b'id:'
 # No engine sends an event this long; without a bound, one that sends
 # rubbish would fill the memory of the process.
 MAX_EVENT_BYTES = 1 << 20
@@ -24,7 +24,7 @@
     :param data: all its bytes, with the blank line that ends it.
     """
 
-    number: int | None
+    event_id: int | None
     data: bytes
 
 
@@ -40,17 +40,17 @@
         :raises BackendError: where no event ends within any sane length,
             or an id is no number.
         """
-        *whole, self.rest = (self.rest + chunk).split(_END)
+        *whole, self.rest = (self.rest + chunk).split(_EVENT_END)
         if len(self.rest) > MAX_EVENT_BYTES:
             raise errors.BackendError('an event without an end', 'stream')
-        return [Event(_number(data), data + _END) for data in whole]
+        return [Event(_event_id(data), data + _EVENT_END) for data in whole]
 
 
-def _number(data: bytes) -> int | None:
+def _event_id(data: bytes) -> int | None:
     for line in data.split(b'\n'):
-        if line.startswith(_ID):
+        if line.startswith(_ID_FIELD):
             try:
-                return int(line[len(_ID) :])
+                return int(line[len(_ID_FIELD) :])
             except ValueError as error:
                 raise errors.BackendError(
                     'an event id that is no number', 'stream'
--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -93,7 +93,7 @@
     async def run(self) -> calls.Reply | None:
         answer = await self._open()
         head = answer.head
-        _parts.learn(self.context, self.engine.ident, head)
+        _parts.record_load(self.context, self.engine.ident, head)
         if head.not_run:
             if head.status == 421:
                 self.context.placement.replaced(self.engine.ident)
@@ -311,14 +311,14 @@
         gap = ''
         for event in events:
             last = self.stream.last_event_id
-            if event.number is not None and last is not None:
-                if event.number <= last:
+            if event.event_id is not None and last is not None:
+                if event.event_id <= last:
                     continue
-                if event.number != last + 1:
-                    gap = f'event {event.number} after {last}'
+                if event.event_id != last + 1:
+                    gap = f'event {event.event_id} after {last}'
                     break
-            if event.number is not None:
-                self.stream.last_event_id = event.number
+            if event.event_id is not None:
+                self.stream.last_event_id = event.event_id
             data += event.data
         if data:
             await self._forward(answer, data)
--- a/src/bulrushhold/forwarding/_forwarder.py
+++ b/src/bulrushhold/forwarding/_forwarder.py
@@ -22,9 +22,9 @@
 START_WAIT_S: t.Final = 1.5
 START_WAIT_SHARE: t.Final = 0.4
 # Other entries serve at once what this one refuses as it leaves.
-ELSEWHERE_RETRY_S: t.Final = 0.05
+DRAIN_RETRY_S: t.Final = 0.05
 # Nearly all streams take less than this many times the mean.
-LONG_RUN: t.Final = 1.4
+LONG_RUN_FACTOR: t.Final = 1.4
 
 
 class Forwarder:
@@ -43,11 +43,11 @@
 
         :raises RequestError: the honest refusal.
         """
-        begun = self.context.clock()
+        started = self.context.clock()
         try:
             if self.fleet.index is None:
                 await self._wait_for_start(call)
-            job = self._accept(call, begun)
+            job = self._accept(call, started)
             if job.route.kind is routes.Kind.STREAM:
                 reply = await _streams.StreamRun(
                     self.context, job, caller_stream
@@ -59,7 +59,7 @@
             _log_refusal(call, error, self.fleet.map_version)
             raise
         self.context.metrics.count('requests.answered')
-        self.context.metrics.time('requests', self.context.clock() - begun)
+        self.context.metrics.time('requests', self.context.clock() - started)
         return reply
 
     async def _wait_for_start(self, call: calls.Call) -> None:
@@ -90,14 +90,14 @@
         account = _account(index, route, call)
         service = index.target(route, random.random())
         if route.kind is routes.Kind.STREAM:
-            self._refuse_what_would_be_cut(service, route, now)
+            self._refuse_unfinishable(service, route, now)
         fingerprint = decisions.fingerprint(path, call.key, call.body)
-        self._refuse_crasher(fingerprint, service, now)
+        self._refuse_poison_request(fingerprint, service, now)
         self.context.budget.first(service, now)
-        end = now + min(call.wait_s, route.timeout_s)
-        return _parts.Job(call, route, service, account, end, fingerprint)
+        deadline = now + min(call.wait_s, route.timeout_s)
+        return _parts.Job(call, route, service, account, deadline, fingerprint)
 
-    def _refuse_what_would_be_cut(
+    def _refuse_unfinishable(
         self, service: str, route: routes.Route, now: float
     ) -> None:
         """Send a stream's caller elsewhere while this entry is leaving.
@@ -107,15 +107,15 @@
         served by another entry, in time.
         """
         run_s = self.context.placement.speeds.run_s(service, now)
-        if now + LONG_RUN * (run_s or route.aim_s) > self.ends_at:
+        if now + LONG_RUN_FACTOR * (run_s or route.aim_s) > self.ends_at:
             raise errors.RequestError(
                 'leaving, and streams take longer than that',
                 'accept',
                 status=503,
-                retry_after=ELSEWHERE_RETRY_S,
+                retry_after=DRAIN_RETRY_S,
             )
 
-    def _refuse_crasher(
+    def _refuse_poison_request(
         self, fingerprint: str, service: str, now: float
     ) -> None:
         seconds = self.context.crashers.refused_for(fingerprint, now)
--- a/src/bulrushhold/forwarding/_parts.py
+++ b/src/bulrushhold/forwarding/_parts.py
@@ -44,7 +44,7 @@
     route: routes.Route
     service: str
     account: str
-    end: float
+    deadline: float
     fingerprint: str = ''
 
 
@@ -55,7 +55,7 @@
     )
 
 
-def refuse(
+def not_run_error(
     job: Job, reason: str, retry_after_s: float = RETRY_AFTER_S
 ) -> errors.RequestError:
     """Return the refusal of a request that ran nowhere."""
@@ -69,7 +69,7 @@
     )
 
 
-def give_up(
+def unknown_outcome_error(
     job: Job, reason: str, peer: str, *, late: bool = False
 ) -> errors.RequestError:
     """Return the failure of a request that may have run."""
@@ -82,7 +82,7 @@
     )
 
 
-def learn(context: Parts, ident: str, head: calls.AnswerHead) -> None:
+def record_load(context: Parts, ident: str, head: calls.AnswerHead) -> None:
     """Take what an answer tells of its server's load."""
     if head.load is not None:
         context.placement.reported(
--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -68,7 +68,7 @@
                 raise self._failure(last, backend.ident)
 
     def _remaining_s(self) -> float:
-        return self.job.end - self.context.clock()
+        return self.job.deadline - self.context.clock()
 
     def _choose(self) -> decisions.Placed | None:
         if self._remaining_s() < MIN_REMAINING_S:
@@ -101,11 +101,13 @@
         self, last: _Result | None, ident: str
     ) -> errors.RequestError:
         if last is None:
-            return _parts.refuse(self.job, 'no backend server is there')
+            return _parts.not_run_error(self.job, 'no backend server is there')
         if last.ran is errors.Ran.NO and not self.attempts:
-            return _parts.refuse(self.job, last.reason)
+            return _parts.not_run_error(self.job, last.reason)
         late = self._remaining_s() < MIN_REMAINING_S
-        return _parts.give_up(self.job, last.reason, ident, late=late)
+        return _parts.unknown_outcome_error(
+            self.job, last.reason, ident, late=late
+        )
 
     async def _attempt(self, backend: decisions.Placed) -> _Result:
         self.tried.add(backend.ident)
@@ -162,7 +164,7 @@
         try:
             answer = await self.context.client.send(self.job.call, attempt)
             head = answer.head
-            _parts.learn(self.context, backend.ident, head)
+            _parts.record_load(self.context, backend.ident, head)
             if head.not_run:
                 if head.status == 421:
                     self.context.placement.replaced(backend.ident)
--- a/src/bulrushhold/forwarding/_prompts.py
+++ b/src/bulrushhold/forwarding/_prompts.py
@@ -7,11 +7,11 @@
 from bulrushhold.forwarding import _parts
 
 # Engines tell what they keep within ms.
-LOOK_S: t.Final = 0.1
+LOOKUP_TIMEOUT_S: t.Final = 0.1
 
 
 async def find_prompt(
-    context: _parts.Parts, job: _parts.Job, part: str
+    context: _parts.Parts, job: _parts.Job, segment: str
 ) -> bool:
     """Ask engines for a prompt, and whether one of them has it.
 
@@ -21,34 +21,37 @@
 
     :param part: the prompt's last one.
     """
-    keepers = context.placement.likely_keepers(
-        job.service, part, context.clock()
+    candidates = context.placement.likely_keepers(
+        job.service, segment, context.clock()
     )
     answers = await asyncio.gather(
         *(
-            context.client.parts_kept(keeper.address, LOOK_S)
-            for keeper in keepers
+            context.client.parts_kept(candidate.address, LOOKUP_TIMEOUT_S)
+            for candidate in candidates
         ),
         return_exceptions=True,
     )
     holders = []
-    for keeper, kept in zip(keepers, answers, strict=True):
-        if isinstance(kept, errors.BackendError):
+    for candidate, segments in zip(candidates, answers, strict=True):
+        if isinstance(segments, errors.BackendError):
             _parts.log(
-                job, 'parts not told', engine=keeper.ident, reason=str(kept)
+                job,
+                'parts not told',
+                engine=candidate.ident,
+                reason=str(segments),
             )
-        elif isinstance(kept, BaseException):
-            raise kept
-        elif part in kept:
-            holders.append(keeper)
+        elif isinstance(segments, BaseException):
+            raise segments
+        elif segment in segments:
+            holders.append(candidate)
     _parts.log(
         job,
         'prompt looked for',
-        asked=len(keepers),
+        asked=len(candidates),
         found=[holder.ident for holder in holders],
     )
     if not holders:
         return False
     best = min(holders, key=lambda h: h.reading + h.others.reading)
-    context.placement.read(part, best.ident, context.clock())
+    context.placement.read(segment, best.ident, context.clock())
     return True
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -106,13 +106,13 @@
                 self._log_end('stream whole' if reply is None else 'failed')
                 return reply
 
-    async def _wait_for_admission(self) -> _admission.Admission:
+    async def _wait_for_admission(self) -> _admission.AdmissionResult:
         begun = self.last_event_id is not None
         return await _admission.wait_for_admission(
             self.context,
             self.job,
             self.estimate_capacity,
-            since=self.context.clock() if begun else self.started_at,
+            waiting_since=self.context.clock() if begun else self.started_at,
             begun=begun,
         )
 
@@ -132,7 +132,7 @@
             # Nothing is to be read that others would have to wait for.
             return
         admission = await self._wait_for_admission()
-        if not admission.comes:
+        if not admission.admitted:
             self.context.metrics.count('streams.refused_full')
             raise self._refuse('engines are full', admission.retry_after_s)
 
@@ -140,7 +140,7 @@
         self, reason: str, retry_after_s: float
     ) -> errors.RequestError:
         self._log_end('stream refused', reason=reason)
-        return _parts.refuse(self.job, reason, retry_after_s)
+        return _parts.not_run_error(self.job, reason, retry_after_s)
 
     def estimate_capacity(self, but: str = '') -> decisions.CapacityEstimate:
         """Return what engines could do for this stream's prompt.
@@ -156,7 +156,7 @@
         )
 
     def remaining_s(self) -> float:
-        return self.job.end - self.context.clock()
+        return self.job.deadline - self.context.clock()
 
     async def _choose(
         self,
@@ -173,7 +173,7 @@
             and self.context.placement.keeps_copy(backup, self.backup_since)
         ):
             return backup, copy or calls.RunCopy(backup.address)
-        if self.lost_runs and not (await self._wait_for_admission()).comes:
+        if self.lost_runs and not (await self._wait_for_admission()).admitted:
             return None, None
         now = self.context.clock()
         engine = self.context.placement.choose_engine(
@@ -252,9 +252,9 @@
         if self.failure_reply is not None:
             return self.failure_reply
         if not self.lost_runs:
-            raise _parts.refuse(self.job, reason)
+            raise _parts.not_run_error(self.job, reason)
         late = self.remaining_s() < MIN_REMAINING_S
-        raise _parts.give_up(self.job, reason, peer, late=late)
+        raise _parts.unknown_outcome_error(self.job, reason, peer, late=late)
 
     # One engine
 
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -336,7 +336,7 @@
         events = []
         for start in range(0, len(data), size):
             events += splitter.feed(data[start : start + size])
-        assert [e.number for e in events] == [1, 2, 3]
+        assert [e.event_id for e in events] == [1, 2, 3]
         assert b''.join(e.data for e in events) == data
         assert not splitter.rest
 
