--- a/src/bulrushhold/forwarding/__init__.py
+++ b/src/bulrushhold/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""The entry's way for opaque requests: routes, retries and resumption."""
+"""Forwards opaque requests: routing, retries and stream resumption."""
 
 from bulrushhold.forwarding._events import Event
 from bulrushhold.forwarding._events import EventSplitter
--- a/src/bulrushhold/forwarding/_admission.py
+++ b/src/bulrushhold/forwarding/_admission.py
@@ -1,4 +1,4 @@
-"""Holds a stream until admission control places or refuses it."""
+"""Queues a stream until admission control admits or rejects it."""
 
 import asyncio
 import collections.abc as cabc
@@ -12,10 +12,10 @@
 
 @attrs.frozen
 class AdmissionResult:
-    """What admission control decided in the end.
+    """The final decision of admission control.
 
-    :param comes: an engine can take the stream now.
-    :param retry_after_s: when its caller may try again, if none can.
+    :param admitted: an engine can take the stream now.
+    :param retry_after_s: delay after which a rejected caller may retry.
     """
 
     admitted: bool
@@ -30,11 +30,11 @@
     waiting_since: float,
     begun: bool,
 ) -> AdmissionResult:
-    """Wait until an engine can take a stream without delay to others.
+    """Wait until an engine can take a stream without delaying others.
 
-    :param look: estimates what engines could do for it.
-    :param since: when its caller began to wait.
-    :param begun: the caller has a part of it.
+    :param estimate_capacity: returns the current estimate for this stream.
+    :param waiting_since: when the caller started to wait for an event.
+    :param begun: the caller has already received events of the stream.
     """
     admission, service = context.admission, job.service
     now = started = context.clock()
@@ -74,7 +74,7 @@
     if now > started:
         _parts.log(
             job,
-            'stream held',
+            'stream queued',
             seconds=round(now - started, 3),
             outcome=outcome.value,
             first_s=round(estimate.first_s, 2),
--- a/src/bulrushhold/forwarding/_events.py
+++ b/src/bulrushhold/forwarding/_events.py
@@ -1,8 +1,7 @@
-"""Splits a stream of server-sent events into whole, numbered events.
+"""Splits a byte stream into complete server-sent events.
 
-An engine that dies may cut its stream in the middle of an event. Bytes
-go on to the caller only as whole events, so that a continuation from
-another engine joins at a boundary.
+An engine can crash in the middle of an event. Only complete events are
+forwarded, so that another engine can resume the stream at an event boundary.
 """
 
 import attrs
@@ -11,17 +10,16 @@
 
 _EVENT_END = b'\n\n'
 _ID_FIELD = b'id:'
-# No engine sends an event this long; without a bound, one that sends
-# rubbish would fill the memory of the process.
+# Bounds the buffer in case an engine never ends an event.
 MAX_EVENT_BYTES = 1 << 20
 
 
 @attrs.frozen
 class Event:
-    """One whole event.
+    """One complete event.
 
-    :param number: its id, or ``None`` where it has none.
-    :param data: all its bytes, with the blank line that ends it.
+    :param event_id: value of its ``id`` field, or ``None`` without one.
+    :param data: raw bytes, including the blank line that ends the event.
     """
 
     event_id: int | None
@@ -29,7 +27,7 @@
 
 
 class EventSplitter:
-    """Takes chunks of any size, gives whole events."""
+    """Reassembles events from chunks of any size."""
 
     def __init__(self) -> None:
         self.rest = b''
@@ -37,12 +35,12 @@
     def feed(self, chunk: bytes) -> list[Event]:
         """Return the events that ``chunk`` completes.
 
-        :raises BackendError: where no event ends within any sane length,
-            or an id is no number.
+        :raises BackendError: if an event exceeds ``MAX_EVENT_BYTES`` or its
+            id is not an integer.
         """
         *whole, self.rest = (self.rest + chunk).split(_EVENT_END)
         if len(self.rest) > MAX_EVENT_BYTES:
-            raise errors.BackendError('an event without an end', 'stream')
+            raise errors.BackendError('event too long', 'stream')
         return [Event(_event_id(data), data + _EVENT_END) for data in whole]
 
 
@@ -53,6 +51,6 @@
                 return int(line[len(_ID_FIELD) :])
             except ValueError as error:
                 raise errors.BackendError(
-                    'an event id that is no number', 'stream'
+                    'event id is not an integer', 'stream'
                 ) from error
     return None
--- a/src/bulrushhold/forwarding/_fleet.py
+++ b/src/bulrushhold/forwarding/_fleet.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the system: route map, backends and entries."""
+"""The entry's view of the cluster: route map, backends and entries."""
 
 import asyncio
 import collections.abc as cabc
@@ -18,31 +18,32 @@
 from bulrushhold import routes
 
 LONG_POLL_S: t.Final = 0.3
-# Over a hold by what a reply takes on a slow link and a busy leader.
+# Added to the long poll for a slow link and a busy leader.
 REPLY_MARGIN_S: t.Final = 0.5
 RETRY_PAUSE_S: t.Final = 0.05
-# Until a report of lost engines is sent again.
 URGENT_REPORT_TIMEOUT_S: t.Final = 0.3
-# A data centre's engines are lost within a few ms; one message tells them.
+# Batches the engines of a lost data centre into one report.
 REPORT_INTERVAL_S: t.Final = 0.01
-# Again without news: a new leader has heard nothing, and the traffic ages.
+# Unchanged load is reported again: a new leader has no reports yet, and
+# traffic counts expire.
 REPORT_REFRESH_S: t.Final = 1.0
-# Without news of backends for this long an entry reads the list itself: a
-# server that leaves must get no new request after 3 s.
+# An older backend list is read from the platform directly, so that servers
+# that are shutting down get no new requests.
 LIST_MAX_AGE_S: t.Final = 1.2
 LIST_TIMEOUT_S: t.Final = 1.0
-# Control needs as long for an election after a start of all.
+# Covers a leader election after a cold start of the whole system.
 FIRST_LIST_DELAY_S: t.Final = 0.9
-# Calls a second to the list that entries may make together in that case.
+# Limit for all entries together while they read the list directly.
 LIST_CALLS_PER_S: t.Final = 12.0
 
 
 class Fleet:
-    """Follows control, and keeps what it last said.
+    """Watches control processes and caches their latest replies.
 
-    :param me: this entry, as control is to list it.
+    :param own_entry: this entry, as control lists it.
     :param seeds: peer addresses of control processes; may be out of date.
-    :param source: the platform's list, for when control is away.
+    :param backend_list: the platform's list, read while control is
+        unreachable.
     """
 
     def __init__(
@@ -81,20 +82,20 @@
 
     @property
     def map_version(self) -> int:
-        """Version of the route map in force here; 0 for none."""
+        """Version of the active route map; 0 before the first one."""
         return self.index.map.version if self.index else 0
 
     @property
     def ready(self) -> bool:
-        """Whether requests can be served."""
+        """Whether this entry has a route map and backend servers."""
         return self.index is not None and bool(self.placement.backends)
 
     def leave(self) -> None:
-        """Take no new callers any more."""
+        """Advertise this entry as not ready for new callers."""
         self.me = attrs.evolve(self.me, ready=False)
 
     def count(self) -> int:
-        """Return the number of entries, this one included."""
+        """Return the number of entries, including this one."""
         return max(1, len(self.entries))
 
     @property
@@ -107,7 +108,7 @@
         self.servers.seeds = seeds
 
     async def follow(self) -> None:
-        """Hold a long poll at a control process, again and again."""
+        """Long-poll a control process forever, failing over on errors."""
         while True:
             address = self.servers.choose(self.server, time.monotonic())
             try:
@@ -124,9 +125,9 @@
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _poll(self, address: str) -> bool:
-        """Poll a control process; return whether control answers there."""
+        """Long-poll a control process; return whether it has a leader."""
         if address != self.server:
-            # Numbers of another process's summaries mean nothing here.
+            # Summary numbers are local to each control process.
             self.loads_number = 0
         reply = await self.transport.request(
             address, self._poll_request(), LONG_POLL_S + REPLY_MARGIN_S
@@ -171,10 +172,10 @@
             hook()
 
     def _apply_list(self, reply: messages.WatchReply) -> None:
-        """Take the list, unless it is older than what this entry has.
+        """Apply the backend list unless it is older than the current one.
 
-        A control process that is out of touch with the leader would bring
-        back engines that have left.
+        A control process without contact to the leader could otherwise bring
+        back removed engines.
         """
         version = reply.backends_version
         read_at = time.monotonic() - reply.backends_age_s
@@ -194,7 +195,7 @@
         now = time.monotonic()
         if summary is None:
             if address == self.server:
-                # Nothing has changed since the summary before.
+                # No summary means no change since the previous one.
                 self.placement.confirm_loads(now)
             return
         self.loads_number = summary.number
@@ -207,7 +208,7 @@
         self.admission.apply_loads(waiting, now)
 
     async def share(self) -> None:
-        """Report what this entry has running, as it changes."""
+        """Report this entry's load forever, whenever it changes."""
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(REPORT_REFRESH_S):
@@ -227,7 +228,7 @@
             )
         except errors.PeerError as error:
             loguru.logger.bind(peer=self.server, error=str(error)).warning(
-                'events not acknowledged'
+                'load report not acknowledged'
             )
             self.placement.report_again(report)
             self.crashers.report_again(report.crashes)
@@ -245,8 +246,7 @@
         )
 
     def _apply_map(self, route_map: routes.RouteMap) -> None:
-        # Forward only: a reply that was overtaken on its way must not bring
-        # back what operators have replaced.
+        # A delayed reply must not restore a replaced map.
         if route_map.version > self.map_version:
             self.index = routes.RouteIndex(route_map)
             self.placement.capacity = {
@@ -254,13 +254,13 @@
                 for service in route_map.services
             }
             self._signal_if_ready()
-            node.log_decision('route map', version=route_map.version)
+            node.log_decision('route map updated', version=route_map.version)
 
     def _apply_backends(self, backends: list[messages.ListedBackend]) -> None:
         self.placement.update(backends)
         self._signal_if_ready()
         node.log_decision(
-            'backends',
+            'backend list updated',
             version=self.backends_version,
             usable=sum(not b.leaving for b in backends),
             leaving=sum(b.leaving for b in backends),
@@ -270,10 +270,10 @@
         if self.ready:
             self.started.set()
 
-    # Without control
+    # Fallback without control
 
     async def read_list_alone(self) -> None:
-        """Read the platform's list while control gives no news of it."""
+        """Read the platform's list whenever control's copy is too old."""
         pause = FIRST_LIST_DELAY_S
         while True:
             await asyncio.sleep(pause * (0.75 + random.random() / 2))
@@ -286,13 +286,13 @@
                 self.backends_version = ''
                 self._apply_backends(backends)
 
-    # Where callers are to connect
+    # Directory for callers
 
     def addresses(self, limit: int) -> list[str]:
-        """Return addresses of ready entries, in a random order.
+        """Return addresses of ready entries in random order.
 
-        :param most: how many; others are drawn for the next caller, so
-            that all entries get their part.
+        :param limit: maximum number of addresses; a random subset balances
+            callers across entries.
         """
         ready = [entry.callers for entry in self.entries if entry.ready]
         if self.me.ready and self.ready and self.me.callers not in ready:
