--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -1,4 +1,4 @@
-"""The events of one engine, on to the caller, until it is lost."""
+"""Relays the events of one engine to the caller until it fails."""
 
 import asyncio
 import contextlib
@@ -16,32 +16,33 @@
 if t.TYPE_CHECKING:
     from bulrushhold.forwarding import _streams
 
-# While a prompt is read, its engine is asked so often whether it lives.
+# Interval of liveness probes during prefill.
 FIRST_ASK_S: t.Final = 0.5
-# Pauses between events are learnt in batches: several times a second.
+# Pauses between events are reported in batches.
 PAUSE_REPORT_INTERVAL_S: t.Final = 0.2
-# Standard deviations above the mean pause, within which pauses mostly and
-# nearly always are (the latter as in RFC 6298).
+# Standard deviations above the mean that cover most pauses, and nearly all
+# of them (the latter as in RFC 6298).
 COMMON_DEVIATIONS: t.Final = 1.5
 USUAL_DEVIATIONS: t.Final = 4.0
-# Engines drop a copy made by order when it hasn't grown for this long.
+# Engines drop a requested copy that has not been renewed for this long.
 COPY_TTL_S: t.Final = 4.0
-# Renewed often enough to outlive one order that fails. What the run made since
-# the last one is read again.
+# Short enough for a copy to survive one failed renewal. Tokens generated since
+# the last renewal have to be prefilled again after a failover.
 COPY_RENEWAL_S: t.Final = 1.5
-NO_PROBE_ANSWER: t.Final = 'silent, and gives no sign of life'
+NO_PROBE_ANSWER: t.Final = 'stalled, and no answer to a liveness probe'
 
 
 @attrs.define(slots=False)
 class StreamLostError(errors.EngineLostError):
-    """An engine is lost to a stream, which may go on elsewhere.
+    """A stream lost its engine and may resume on another one.
 
     :param sent: the request may have reached the engine.
-    :param gone: it is dead or out of reach, not merely at fault.
-    :param reset: it broke the connection; dead engines do, and living ones
-        that are at fault.
-    :param seconds: since the stream was placed there.
-    :param last_before: number of the caller's last event at that time.
+    :param unreachable: the engine crashed or is unreachable; ``False`` if it
+        only returned an error.
+    :param reset: the engine broke the connection; so do live engines on
+        errors.
+    :param seconds: time since the stream was sent to the engine.
+    :param event_id_before: id of the caller's last event at that time.
     """
 
     sent: bool = True
@@ -52,17 +53,17 @@
 
 
 def _close_answer(send_task: 'asyncio.Future[calls.BackendAnswer]') -> None:
-    """Close what an abandoned sending brought, if anything.
+    """Close the answer of a cancelled send, if there is one.
 
-    Without this the engine would go on with the run until the connection
-    is garbage collected.
+    Otherwise the engine would keep generating until the connection is
+    garbage-collected.
     """
     if not send_task.cancelled() and send_task.exception() is None:
         send_task.result().close()
 
 
 class EngineStream:
-    """The events of one engine, on to the caller."""
+    """One engine's part of a stream, relayed to the caller."""
 
     def __init__(
         self,
@@ -98,10 +99,14 @@
             if head.status == 421:
                 self.context.placement.replaced(self.engine.ident)
             raise StreamLostError(
-                f'refused with {head.status}', sent=False, unreachable=False
+                f'refused with status {head.status}',
+                sent=False,
+                unreachable=False,
             )
         if not head.own or not head.genuine:
-            raise StreamLostError('a foreign answer', unreachable=False)
+            raise StreamLostError(
+                'answer to another request', unreachable=False
+            )
         if head.status >= 300:
             return await self._failure_reply(answer)
         await self._relay(answer)
@@ -116,7 +121,7 @@
         return None
 
     def close(self) -> None:
-        """Leave the engine; it stops working on the stream."""
+        """Close the connection, so that the engine stops generating."""
         if self.read_sample is not None:
             self.speeds.forget(self.read_sample)
         if self.send_task is not None:
@@ -134,10 +139,10 @@
         send_task.add_done_callback(_close_answer)
 
     async def drop_copy(self) -> None:
-        """Free the copy that was ordered, once the stream is whole.
+        """Free the requested copy after the stream has completed.
 
-        Engines free it themselves, but only seconds later, and until then
-        the memory of a whole prompt is missing there.
+        Without this it would hold the memory of a whole prompt until its
+        expiry on the engine.
         """
         copy = self.stream.copy
         if copy is not None:
@@ -153,8 +158,8 @@
             after=self.stream.last_event_id,
             backup=self.backup.address if self.backup else '',
             copy=self.copy,
-            # A kept connection that the engine closes meanwhile would look
-            # like a crash; a new one costs a ms of a stream of seconds.
+            # The engine may close an idle connection at any time, which would
+            # look like a crash.
             fresh=True,
         )
         self.send_task = asyncio.ensure_future(
@@ -179,9 +184,9 @@
         return self.answer
 
     def _expect_first_event(self) -> None:
-        """Take down when the first event is expected."""
+        """Record when the first event is expected."""
         if not self.reading or self.stream.job.call.after is not None:
-            # What a caller comes back for may be in memory: no measure.
+            # A resumed prompt may be cached, which would distort the speed.
             return
         now = self.context.clock()
         tokens = self.engine.reading + self.engine.others.reading
@@ -195,13 +200,15 @@
     def _check_first_event(self, silence: _liveness.SilenceTimer) -> None:
         waited = silence.seconds
         if self.stream.remaining_s() <= 0:
-            raise StreamLostError('no event in time', unreachable=False)
+            raise StreamLostError(
+                'no event before the deadline', unreachable=False
+            )
         elsewhere_s = self.stream.estimate_capacity(self.engine.ident).first_s
         if waited > decisions.leave_unread_s(
             self.expected_first_s, elsewhere_s
         ):
             raise StreamLostError(
-                f'no event for {waited:.2f} s', unreachable=False
+                f'no first event after {waited:.2f} s', unreachable=False
             )
 
     async def _is_alive(self, silence: _liveness.SilenceTimer) -> bool:
@@ -220,7 +227,9 @@
         if head.status < 500 or not self.stream.job.route.repeatable:
             return reply
         self.stream.failure_reply = reply
-        raise StreamLostError(f'failed with {head.status}', unreachable=False)
+        raise StreamLostError(
+            f'failed with status {head.status}', unreachable=False
+        )
 
     async def _relay(self, answer: calls.BackendAnswer) -> None:
         splitter = _events.EventSplitter()
@@ -235,9 +244,7 @@
             await self._forward_new_events(answer, events)
             self._ensure_copy()
         if splitter.rest:
-            raise StreamLostError(
-                'ended in the middle of an event', unreachable=False
-            )
+            raise StreamLostError('incomplete last event', unreachable=False)
         if not self.stream.caller_stream.begun:
             await self.stream.caller_stream.begin(
                 answer.head.status, answer.head.headers
@@ -245,11 +252,10 @@
         await self.stream.caller_stream.end()
 
     def _ensure_copy(self) -> None:
-        """Have a copy made where there is none, or none any more.
+        """Request a copy of the run's memory if no backup holds one.
 
-        Engines fail a data centre at a time: those that hold the copies go
-        first as often as those that run the streams, and a stream without a
-        copy would have its whole prompt read again.
+        Guards against a backup that fails before the engine of the stream:
+        without a new copy the whole prompt would be prefilled again.
         """
         if self.renewal is None and not self._has_copy():
             self.renewal = asyncio.ensure_future(self._renew_copy())
@@ -280,8 +286,8 @@
                         COPY_RENEWAL_S,
                     )
                 except errors.BackendError as error:
-                    # Mostly the run's own engine is being lost: the copy made
-                    # last is what its stream goes on from.
+                    # The engine itself may be failing: keep the last copy,
+                    # from which the stream can resume.
                     _parts.log(
                         stream.job, 'copy not renewed', reason=str(error)
                     )
@@ -301,12 +307,12 @@
             self.backup.memory -= stream.memory
         target.memory += stream.memory
         self.backup = target
-        _parts.log(stream.job, 'copy renewed', at=target.ident)
+        _parts.log(stream.job, 'copy requested', at=target.ident)
 
     async def _forward_new_events(
         self, answer: calls.BackendAnswer, events: list[_events.Event]
     ) -> None:
-        """Show the events that go on where the caller's stream stands."""
+        """Forward the events that directly follow the caller's last one."""
         data = b''
         gap = ''
         for event in events:
@@ -315,7 +321,7 @@
                 if event.event_id <= last:
                     continue
                 if event.event_id != last + 1:
-                    gap = f'event {event.event_id} after {last}'
+                    gap = f'missing events: {event.event_id} after {last}'
                     break
             if event.event_id is not None:
                 self.stream.last_event_id = event.event_id
@@ -376,11 +382,11 @@
             or self.stream.remaining_s() <= 0
         ):
             raise StreamLostError(
-                f'silent for {stalled_s:.2f} s', unreachable=False
+                f'stalled for {stalled_s:.2f} s', unreachable=False
             )
 
     async def _read_buffered(self, answer: calls.BackendAnswer) -> bytes:
-        """Return what came while the engine was asked for a sign of life."""
+        """Return what arrived during a failed probe, without waiting."""
         try:
             async with asyncio.timeout(0):
                 return await self._read(answer)
--- a/src/bulrushhold/forwarding/_forwarder.py
+++ b/src/bulrushhold/forwarding/_forwarder.py
@@ -1,4 +1,4 @@
-"""Decides on each opaque request: who may send it, and where it goes."""
+"""Authorizes each opaque request and dispatches it to its service."""
 
 import asyncio
 import contextlib
@@ -15,20 +15,20 @@
 from bulrushhold import node
 from bulrushhold import routes
 
-# A process that has just started knows the route map within half a second.
+# A new process usually gets the route map within this time.
 START_RETRY_S: t.Final = 0.5
-# An election after a start of all takes 0.5 to 1 s. Of its time a request
-# may lose two fifths and still be served.
+# Covers a leader election after a cold start, but leaves each request most of
+# its own timeout.
 START_WAIT_S: t.Final = 1.5
 START_WAIT_SHARE: t.Final = 0.4
-# Other entries serve at once what this one refuses as it leaves.
+# Other entries accept immediately what a draining entry refuses.
 DRAIN_RETRY_S: t.Final = 0.05
-# Nearly all streams take less than this many times the mean.
+# Covers nearly all streams, as a multiple of the mean duration.
 LONG_RUN_FACTOR: t.Final = 1.4
 
 
 class Forwarder:
-    """The way of every opaque request through this entry."""
+    """Handles all opaque requests of this entry."""
 
     def __init__(self, fleet: _fleet.Fleet, context: _parts.Parts) -> None:
         self.fleet = fleet
@@ -39,9 +39,10 @@
     async def handle(
         self, call: calls.Call, caller_stream: calls.CallerStream
     ) -> calls.Reply | None:
-        """Serve one request; ``None`` where the answer went to ``out``.
+        """Serve one request; ``None`` if the answer was streamed.
 
-        :raises RequestError: the honest refusal.
+        :raises RequestError: if the request is refused or fails; its ``ran``
+            tells whether it may have run.
         """
         started = self.context.clock()
         try:
@@ -63,11 +64,10 @@
         return reply
 
     async def _wait_for_start(self, call: calls.Call) -> None:
-        """Give a process that has just started the time to learn its map.
+        """Wait a limited time for the first route map.
 
-        After a loss of power all entries start together, and the map is
-        there within a second or so. A refusal would use up the one time
-        that many callers come back.
+        After a cold start all entries lack the map, so that a refusal would
+        only use up the caller's retries.
         """
         wait = min(START_WAIT_S, call.wait_s * START_WAIT_SHARE)
         with contextlib.suppress(TimeoutError):
@@ -78,7 +78,7 @@
         index = self.fleet.index
         if index is None or self.closing:
             raise errors.RequestError(
-                'leaving' if self.closing else 'no route map yet',
+                'shutting down' if self.closing else 'no route map yet',
                 'accept',
                 status=503,
                 retry_after=START_RETRY_S,
@@ -100,16 +100,15 @@
     def _refuse_unfinishable(
         self, service: str, route: routes.Route, now: float
     ) -> None:
-        """Send a stream's caller elsewhere while this entry is leaving.
+        """Refuse a stream that would outlast this draining entry.
 
-        Callers learn late that it leaves. A stream that is taken now would be
-        cut in the middle as the process ends; refused at once, its caller is
-        served by another entry, in time.
+        Callers notice the shutdown late. An immediate refusal lets them retry
+        at another entry instead of losing the stream midway.
         """
         run_s = self.context.placement.speeds.run_s(service, now)
         if now + LONG_RUN_FACTOR * (run_s or route.aim_s) > self.ends_at:
             raise errors.RequestError(
-                'leaving, and streams take longer than that',
+                'shutting down before the stream could complete',
                 'accept',
                 status=503,
                 retry_after=DRAIN_RETRY_S,
@@ -121,7 +120,7 @@
         seconds = self.context.crashers.refused_for(fingerprint, now)
         if seconds:
             raise errors.RequestError(
-                'engines died under this request',
+                'engines crashed repeatedly on this request',
                 'accept',
                 service,
                 status=503,
--- a/src/bulrushhold/forwarding/_liveness.py
+++ b/src/bulrushhold/forwarding/_liveness.py
@@ -1,4 +1,4 @@
-"""Whether an engine that says nothing is dead, busy, or not to blame."""
+"""Tells a dead engine from a busy one, and from a delay of this process."""
 
 import asyncio
 import collections.abc as cabc
@@ -7,21 +7,20 @@
 
 from bulrushhold import calls
 
-# Engines answer a report within milliseconds, however busy they are.
+# Busy engines answer probes as fast as idle ones.
 PROBE_TIMEOUT_S: t.Final = 0.18
 POLL_STEP_S: t.Final = 0.03
 POLL_STEPS: t.Final = round(PROBE_TIMEOUT_S / POLL_STEP_S)
-# On a lossy link the answer to a single question is often late.
+# Covers the loss of a packet of the first probe.
 SECOND_PROBE_STEP: t.Final = POLL_STEPS // 3
 MAX_PROBE_S: t.Final = 2.0
 
 
 async def is_alive(client: calls.BackendClient, address: str) -> bool:
-    """Return whether an engine answers one of two questions.
+    """Return whether an engine answers one of two probes.
 
-    Counts steps instead of time. A process that is short of processor time
-    reads its sockets late; by the clock it would take living engines for
-    dead, and their streams would be read again elsewhere.
+    Counts event loop steps instead of time: a process that is short of CPU
+    reads its sockets late, and would take live engines for dead by the clock.
     """
     probes: set[asyncio.Future[bool]] = set()
     try:
@@ -44,7 +43,7 @@
 async def _wait_one_step(
     probes: set['asyncio.Future[bool]'],
 ) -> set['asyncio.Future[bool]']:
-    """Return the answers that come within one step."""
+    """Wait for one step and return the probes finished by then."""
     if not probes:
         await asyncio.sleep(POLL_STEP_S)
         return set()
@@ -55,12 +54,11 @@
 
 
 class SilenceTimer:
-    """How long an engine has sent nothing while this process could read.
+    """Measures how long an engine sent nothing while this process ran.
 
-    A machine that stood still wakes with all its timers due, and with its
-    engines' events unread in its sockets. Counted by the clock, the time it
-    stood still would look like its engines' silence, and all of them would
-    be left at once.
+    A suspended machine resumes with all timers expired and the engines'
+    events still unread. Each wait therefore counts for no more than its
+    timeout, or a suspension would look like a stall of all engines.
     """
 
     def __init__(self, clock: cabc.Callable[[], float]) -> None:
@@ -69,7 +67,7 @@
 
     @contextlib.contextmanager
     def measure(self, max_s: float) -> cabc.Iterator[None]:
-        """Count the time that a wait takes, up to its timeout."""
+        """Add the duration of a wait, capped at its timeout."""
         started = self.clock()
         try:
             yield
--- a/src/bulrushhold/forwarding/_parts.py
+++ b/src/bulrushhold/forwarding/_parts.py
@@ -1,4 +1,4 @@
-"""What every run of an opaque request uses."""
+"""Shared state and helpers of all opaque requests."""
 
 import collections.abc as cabc
 import time
@@ -13,15 +13,12 @@
 from bulrushhold import ports
 from bulrushhold import routes
 
-# After this time a caller may come back: a server that crashed is back, or
-# has been taken off the list, within a few seconds; engines work off a full
-# queue at some requests a second.
 RETRY_AFTER_S: t.Final = 0.5
 
 
 @attrs.frozen
 class Parts:
-    """Parts shared by all runs of one entry."""
+    """Objects shared by all requests of one entry."""
 
     placement: decisions.Placement
     client: calls.BackendClient
@@ -34,10 +31,10 @@
 
 @attrs.frozen
 class Job:
-    """One accepted request and where it is to go.
+    """An accepted request with its route and target service.
 
-    :param end: when its time is over, by the parts' clock.
-    :param fingerprint: the same for all repetitions of the request.
+    :param deadline: when the caller gives up, by the context's clock.
+    :param fingerprint: identical for all repetitions of the request.
     """
 
     call: calls.Call
@@ -49,7 +46,7 @@
 
 
 def log(job: Job, decision: str, **fields: t.Any) -> None:
-    """Log one decision on a request."""
+    """Log a decision about a request."""
     node.log_decision(
         decision, request=job.call.ident, route=job.route.name, **fields
     )
@@ -58,7 +55,7 @@
 def not_run_error(
     job: Job, reason: str, retry_after_s: float = RETRY_AFTER_S
 ) -> errors.RequestError:
-    """Return the refusal of a request that ran nowhere."""
+    """Return the error for a request that did not run anywhere."""
     return errors.RequestError(
         reason,
         'forward',
@@ -72,7 +69,7 @@
 def unknown_outcome_error(
     job: Job, reason: str, peer: str, *, late: bool = False
 ) -> errors.RequestError:
-    """Return the failure of a request that may have run."""
+    """Return the error for a request that may have run."""
     return errors.RequestError(
         reason,
         'forward',
@@ -83,7 +80,7 @@
 
 
 def record_load(context: Parts, ident: str, head: calls.AnswerHead) -> None:
-    """Take what an answer tells of its server's load."""
+    """Record the server load that an answer reports."""
     if head.load is not None:
         context.placement.reported(
             ident, head.load.running, head.load.waiting, context.clock()
