--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -1,4 +1,4 @@
-"""Runs a plain request: one answer, whole or not at all."""
+"""Forwards a plain request, which has a single complete answer."""
 
 import asyncio
 import contextlib
@@ -11,21 +11,21 @@
 from bulrushhold import errors
 from bulrushhold.forwarding import _parts
 
-# An idempotent request that waits this many times the mean is taken to
-# another server: at 6 a server's own slow answers, one in a hundred, pass.
+# An idempotent request is sent to another server after this multiple of the
+# mean latency; slow answers of a healthy server stay below it.
 STALL_FACTOR: t.Final = 6.0
 MIN_STALL_TIMEOUT_S: t.Final = 0.12
-# All servers are full or away: a place is free again within one request.
+# Delay before a second round, after all servers have been tried.
 RETRY_PAUSE_S: t.Final = 0.04
-# Below this much time left a server can't answer any more.
+# No server can answer within less than this.
 MIN_REMAINING_S: t.Final = 0.01
 
 
 @attrs.frozen
 class _Result:
-    """What one attempt came to.
+    """The result of one attempt.
 
-    :param reply: the server's own answer, if any.
+    :param reply: the server's answer, if any.
     :param ran: whether the server may have run the request.
     """
 
@@ -35,7 +35,7 @@
 
 
 class PlainRun:
-    """One request's way through one or more backend servers."""
+    """One plain request, with retries at other backend servers."""
 
     def __init__(self, context: _parts.Parts, job: _parts.Job) -> None:
         self.context = context
@@ -47,7 +47,8 @@
     async def run(self) -> calls.Reply:
         """Return the answer.
 
-        :raises RequestError: with what is certain of the request.
+        :raises RequestError: if no server answered; its ``ran`` tells
+            whether the request may have run.
         """
         last: _Result | None = None
         while True:
@@ -94,14 +95,16 @@
         if self.context.budget.take(self.job.service, self.context.clock()):
             return True
         self.context.metrics.count('repeats.refused')
-        _parts.log(self.job, 'repeat budget spent')
+        _parts.log(self.job, 'retry budget exhausted')
         return False
 
     def _failure(
         self, last: _Result | None, ident: str
     ) -> errors.RequestError:
         if last is None:
-            return _parts.not_run_error(self.job, 'no backend server is there')
+            return _parts.not_run_error(
+                self.job, 'no backend server available'
+            )
         if last.ran is errors.Ran.NO and not self.attempts:
             return _parts.not_run_error(self.job, last.reason)
         late = self._remaining_s() < MIN_REMAINING_S
@@ -120,8 +123,8 @@
             backend.inflight -= 1
             if not task.done():
                 task.cancel()
-                # The connection has to be closed before another server gets
-                # the request, or both work on it.
+                # Close the connection first, so that two servers never run
+                # the request at once.
                 with contextlib.suppress(asyncio.CancelledError):
                     await task
         self._record_result(backend, result, self.context.clock() - started)
@@ -139,14 +142,14 @@
                 {task}, timeout=min(stall_timeout_s, self._remaining_s() / 2)
             )
             if not task.done():
-                return _Result(errors.Ran.UNKNOWN, 'no answer yet')
+                return _Result(errors.Ran.UNKNOWN, 'stall timeout')
         await asyncio.wait({task}, timeout=max(0.0, self._remaining_s()))
         if task.done():
             return task.result()
-        return _Result(errors.Ran.UNKNOWN, 'no answer in time')
+        return _Result(errors.Ran.UNKNOWN, 'no answer before the deadline')
 
     def _can_switch(self) -> bool:
-        """Whether leaving a slow server leads anywhere."""
+        """Whether another attempt at a healthy server is possible."""
         others = self.context.placement.usable(self.job.service)
         return self.attempts + 1 < self.job.route.max_attempts and any(
             b.ident not in self.tried and b.suspect_until == 0 for b in others
@@ -168,13 +171,15 @@
             if head.not_run:
                 if head.status == 421:
                     self.context.placement.replaced(backend.ident)
-                return _Result(errors.Ran.NO, f'refused with {head.status}')
+                return _Result(
+                    errors.Ran.NO, f'refused with status {head.status}'
+                )
             if not head.own or not head.genuine:
-                return _Result(errors.Ran.UNKNOWN, 'a foreign answer')
+                return _Result(errors.Ran.UNKNOWN, 'answer to another request')
             body = await answer.body()
             return _Result(
                 errors.Ran.YES,
-                f'failed with {head.status}',
+                f'failed with status {head.status}',
                 calls.Reply(head.status, head.headers, body),
             )
         except errors.BackendError as error:
--- a/src/bulrushhold/forwarding/_prompts.py
+++ b/src/bulrushhold/forwarding/_prompts.py
@@ -1,4 +1,4 @@
-"""Finds the engine that has read the prompt of a caller that comes back."""
+"""Finds the engine that has a resuming caller's prompt cached."""
 
 import asyncio
 import typing as t
@@ -6,20 +6,18 @@
 from bulrushhold import errors
 from bulrushhold.forwarding import _parts
 
-# Engines tell what they keep within ms.
 LOOKUP_TIMEOUT_S: t.Final = 0.1
 
 
 async def find_prompt(
     context: _parts.Parts, job: _parts.Job, segment: str
 ) -> bool:
-    """Ask engines for a prompt, and whether one of them has it.
+    """Return whether an engine has a prompt cached, and record which.
 
-    The caller's entry was lost, perhaps all entries, and with them who knew
-    which engine has read the prompt. Reading it again would take the caller's
-    time, and that of all who wait behind it.
+    After the loss of an entry the others don't know where its prompts are
+    cached. A lookup saves prefilling such a prompt again.
 
-    :param part: the prompt's last one.
+    :param segment: name of the prompt's last segment.
     """
     candidates = context.placement.likely_keepers(
         job.service, segment, context.clock()
@@ -36,7 +34,7 @@
         if isinstance(segments, errors.BackendError):
             _parts.log(
                 job,
-                'parts not told',
+                'cached segments unknown',
                 engine=candidate.ident,
                 reason=str(segments),
             )
@@ -46,7 +44,7 @@
             holders.append(candidate)
     _parts.log(
         job,
-        'prompt looked for',
+        'prompt cache lookup',
         asked=len(candidates),
         found=[holder.ident for holder in holders],
     )
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -1,4 +1,4 @@
-"""Runs a stream of events, across the losses of engines."""
+"""Forwards a stream of events and resumes it after engine failures."""
 
 import asyncio
 import typing as t
@@ -12,20 +12,19 @@
 from bulrushhold.forwarding import _parts
 from bulrushhold.forwarding import _prompts
 
-# An engine sends its run's memory to the backup several times a second.
+# A run that failed earlier has no copy at the backup yet.
 COPY_AFTER_S: t.Final = 0.3
-# All engines are full or away: places come free several times a second.
+# Delay before a second round, after all engines have been tried.
 RETRY_PAUSE_S: t.Final = 0.05
 MIN_REMAINING_S: t.Final = 0.05
-# A prompt larger than any engine's memory is served only once operators have
-# put up larger ones; callers leave long before.
+# Only larger engines could serve a prompt that exceeds the memory of all.
 TOO_LARGE_RETRY_S: t.Final = 60.0
 
 
 class StreamRun:
-    """One stream's way through one or more engines.
+    """One stream, on one engine after another.
 
-    :param out: towards the caller.
+    :param caller_stream: the answer to the caller.
     """
 
     def __init__(
@@ -43,8 +42,7 @@
         self.backup: decisions.Placed | None = None
         self.backup_since = 0.0
         self.copy: calls.RunCopy | None = None
-        # Only a part of the answer is written by the time most streams are
-        # lost, so that it counts by half.
+        # Streams that fail have generated about half of their answer.
         prompt = job.call.prompt
         self.memory = (
             prompt.tokens + prompt.output_tokens // 2 if prompt else 0
@@ -66,24 +64,25 @@
         self.last_segment = segments[-1] if segments else ''
 
     async def run(self) -> calls.Reply | None:
-        """Return a reply, or ``None`` where the stream went out.
+        """Return a reply, or ``None`` if the answer was streamed.
 
-        :raises RequestError: where nothing has gone out yet.
+        :raises RequestError: if the stream fails before its first event.
         """
         try:
             return await self._run()
         except (asyncio.CancelledError, ConnectionError):
-            # Without a line of its own a stream that nobody waits for any
-            # more couldn't be told from one that was lost.
+            # Logged to tell a cancelled stream from one that was lost.
             disconnected = not self.caller_stream.connected
             self._log_end(
-                'stream left',
-                reason='caller left' if disconnected else 'entry ends',
+                'stream cancelled',
+                reason='caller disconnected'
+                if disconnected
+                else 'entry shutting down',
             )
             raise
 
     async def _run(self) -> calls.Reply | None:
-        reason, peer = 'no engine is there', ''
+        reason, peer = 'no engine available', ''
         await self._wait_for_first_engine()
         while True:
             engine, copy = await self._choose()
@@ -117,24 +116,25 @@
         )
 
     async def _wait_for_first_engine(self) -> None:
-        """Wait until an engine can take the stream for the first time.
+        """Wait until the first engine can take the stream.
 
-        :raises RequestError: where that would take too long.
+        :raises RequestError: if admission control rejects the stream.
         """
         if not self.context.placement.can_hold(self.job.service, self.tokens):
             raise self._refuse(
-                f'no engine holds {self.tokens} tokens', TOO_LARGE_RETRY_S
+                f'prompt of {self.tokens} tokens exceeds engine memory',
+                TOO_LARGE_RETRY_S,
             )
         resumes = self.job.call.after is not None
         if resumes and await _prompts.find_prompt(
             self.context, self.job, self.last_segment
         ):
-            # Nothing is to be read that others would have to wait for.
+            # A cached prompt needs no prefill and delays nobody.
             return
         admission = await self._wait_for_admission()
         if not admission.admitted:
             self.context.metrics.count('streams.refused_full')
-            raise self._refuse('engines are full', admission.retry_after_s)
+            raise self._refuse('engines at capacity', admission.retry_after_s)
 
     def _refuse(
         self, reason: str, retry_after_s: float
@@ -143,9 +143,9 @@
         return _parts.not_run_error(self.job, reason, retry_after_s)
 
     def estimate_capacity(self, but: str = '') -> decisions.CapacityEstimate:
-        """Return what engines could do for this stream's prompt.
+        """Estimate how soon engines could serve this stream's prompt.
 
-        :param but: engine that the others are to be compared with.
+        :param but: engine to leave out of the estimate.
         """
         return self.context.placement.estimate_capacity(
             self.job.service,
@@ -161,7 +161,7 @@
     async def _choose(
         self,
     ) -> tuple[decisions.Placed | None, calls.RunCopy | None]:
-        """Return the engine to go to, and the copy that it goes on from."""
+        """Return the next engine, and the copy from which it resumes."""
         if self.remaining_s() < MIN_REMAINING_S:
             return None, None
         backup, copy = self.backup, self.copy
@@ -193,7 +193,7 @@
             or self.last_event_id != lost.event_id_before
         )
         if not (lost.sent and begun) or lost.seconds < COPY_AFTER_S:
-            # Nothing can lie at the backup yet; asking would cost a refusal.
+            # The backup has no copy yet and would refuse the stream.
             self.backup = self.copy = None
         if lost.sent:
             self.lost_runs += 1
@@ -215,12 +215,12 @@
             return True
         self.context.metrics.count('repeats.refused')
         _parts.log(
-            self.job, 'repeat budget spent', begun=self.caller_stream.begun
+            self.job, 'retry budget exhausted', begun=self.caller_stream.begun
         )
         return False
 
     def record_event_sent(self) -> None:
-        """Learn that events go out to the caller now."""
+        """Record that events are sent to the caller."""
         now = self.context.clock()
         if self.first_s is None:
             self.first_s = now - self.started_at
@@ -256,7 +256,7 @@
         late = self.remaining_s() < MIN_REMAINING_S
         raise _parts.unknown_outcome_error(self.job, reason, peer, late=late)
 
-    # One engine
+    # Attempts at one engine
 
     async def _attempt(
         self, engine: decisions.Placed, copy: calls.RunCopy | None
@@ -312,11 +312,10 @@
     async def _check_reachable(
         self, engine: decisions.Placed, lost: _flow.StreamLostError
     ) -> None:
-        """Tell a dead engine from one that lost an answer.
+        """Check whether an engine that broke the connection is alive.
 
-        A dead one refuses connections at once. One that lives is still good
-        for others' streams and keeps its copies; taken for dead by all
-        entries, a few such faults leave them without engines.
+        A crashed engine refuses connections. A live one still serves other
+        streams and holds copies, and must not be marked as lost.
         """
         if lost.reset and await self.context.client.alive(
             engine.address, _liveness.PROBE_TIMEOUT_S
@@ -345,7 +344,7 @@
         )
 
     def record_resumption(self, ident: str) -> None:
-        """Learn that events are coming from an engine."""
+        """Record that a stream receives events again."""
         now = self.context.clock()
         if self.interrupted_at is not None:
             self.context.metrics.time(
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -91,17 +91,17 @@
     closing = (
         'stream whole',
         'stream ended early',
-        'stream left',
+        'stream cancelled',
         'stream refused',
     )
     lines = [line for line in logged if line.get('decision') in closing]
     assert [(line['decision'], line.get('reason')) for line in lines] == [
         ('stream whole', None),
         ('stream ended early', f'answer {broken}: reset'),
-        ('stream left', 'caller left'),
-        ('stream left', 'entry ends'),
-        ('stream refused', 'no engine holds 8000 tokens'),
-        ('stream ended early', 'no engine is there'),
+        ('stream cancelled', 'caller disconnected'),
+        ('stream cancelled', 'entry shutting down'),
+        ('stream refused', 'prompt of 8000 tokens exceeds engine memory'),
+        ('stream ended early', 'no engine available'),
     ]
     assert all(line['seconds'] >= 0 for line in lines)
 
