--- a/src/bulrushhold/forwarding/_events.py
+++ b/src/bulrushhold/forwarding/_events.py
@@ -38,10 +38,10 @@
         :raises BackendError: if an event exceeds ``MAX_EVENT_BYTES`` or its
             id is not an integer.
         """
-        *whole, self.rest = (self.rest + chunk).split(_EVENT_END)
+        *complete, self.rest = (self.rest + chunk).split(_EVENT_END)
         if len(self.rest) > MAX_EVENT_BYTES:
             raise errors.BackendError('event too long', 'stream')
-        return [Event(_event_id(data), data + _EVENT_END) for data in whole]
+        return [Event(_event_id(data), data + _EVENT_END) for data in complete]
 
 
 def _event_id(data: bytes) -> int | None:
--- a/src/bulrushhold/forwarding/_fleet.py
+++ b/src/bulrushhold/forwarding/_fleet.py
@@ -74,7 +74,7 @@
         self.entries: list[messages.ListedEntry] = []
         self.entries_version = ''
         self.nodes_version = ''
-        self.loads_number = 0
+        self.summary_number = 0
         self.started = asyncio.Event()
         self.load_changed = asyncio.Event()
         placement.on_news = self.load_changed.set
@@ -128,7 +128,7 @@
         """Long-poll a control process; return whether it has a leader."""
         if address != self.server:
             # Summary numbers are local to each control process.
-            self.loads_number = 0
+            self.summary_number = 0
         reply = await self.transport.request(
             address, self._poll_request(), LONG_POLL_S + REPLY_MARGIN_S
         )
@@ -155,7 +155,7 @@
                 self.nodes_version,
             ),
             LONG_POLL_S,
-            self.loads_number,
+            self.summary_number,
         )
 
     def _take(self, reply: messages.WatchReply) -> None:
@@ -198,7 +198,7 @@
                 # No summary means no change since the previous one.
                 self.placement.confirm_loads(now)
             return
-        self.loads_number = summary.number
+        self.summary_number = summary.number
         self.placement.apply_loads(summary, now)
         self.budget.apply_loads(summary.traffic, now)
         self.crashers.add_reports(summary.crashes, now)
--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -104,9 +104,7 @@
                 unreachable=False,
             )
         if not head.own or not head.genuine:
-            raise StreamLostError(
-                'answer to another request', unreachable=False
-            )
+            raise StreamLostError('mismatched answer', unreachable=False)
         if head.status >= 300:
             return await self._failure_reply(answer)
         await self._relay(answer)
--- a/src/bulrushhold/forwarding/_parts.py
+++ b/src/bulrushhold/forwarding/_parts.py
@@ -67,7 +67,7 @@
 
 
 def unknown_outcome_error(
-    job: Job, reason: str, peer: str, *, late: bool = False
+    job: Job, reason: str, peer: str, *, timed_out: bool = False
 ) -> errors.RequestError:
     """Return the error for a request that may have run."""
     return errors.RequestError(
@@ -75,7 +75,7 @@
         'forward',
         peer,
         ran=errors.Ran.UNKNOWN,
-        status=504 if late else 502,
+        status=504 if timed_out else 502,
     )
 
 
--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -60,10 +60,10 @@
             last = await self._attempt(backend)
             if last.reply is not None and last.reply.status < 500:
                 return last.reply
-            may_have_run = (
+            must_not_repeat = (
                 last.ran is not errors.Ran.NO and not self.repeatable
             )
-            if may_have_run or not await self._may_retry(last):
+            if must_not_repeat or not await self._may_retry(last):
                 if last.reply is not None:
                     return last.reply
                 raise self._failure(last, backend.ident)
@@ -107,9 +107,9 @@
             )
         if last.ran is errors.Ran.NO and not self.attempts:
             return _parts.not_run_error(self.job, last.reason)
-        late = self._remaining_s() < MIN_REMAINING_S
+        timed_out = self._remaining_s() < MIN_REMAINING_S
         return _parts.unknown_outcome_error(
-            self.job, last.reason, ident, late=late
+            self.job, last.reason, ident, timed_out=timed_out
         )
 
     async def _attempt(self, backend: decisions.Placed) -> _Result:
@@ -175,7 +175,7 @@
                     errors.Ran.NO, f'refused with status {head.status}'
                 )
             if not head.own or not head.genuine:
-                return _Result(errors.Ran.UNKNOWN, 'answer to another request')
+                return _Result(errors.Ran.UNKNOWN, 'mismatched answer')
             body = await answer.body()
             return _Result(
                 errors.Ran.YES,
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -88,12 +88,12 @@
             engine, copy = await self._choose()
             if engine is None:
                 return self._end_incomplete(reason, peer)
-            begun, last = self.context.clock(), self.last_event_id
+            started, last = self.context.clock(), self.last_event_id
             try:
                 reply = await self._attempt(engine, copy)
             except _flow.StreamLostError as lost:
                 reason, peer = str(lost), engine.ident
-                lost.seconds = self.context.clock() - begun
+                lost.seconds = self.context.clock() - started
                 lost.event_id_before = last
                 await self._check_reachable(engine, lost)
                 self._record_loss(engine, lost)
@@ -102,7 +102,9 @@
             else:
                 if reply is None:
                     self.context.crashers.served(self.job.fingerprint)
-                self._log_end('stream whole' if reply is None else 'failed')
+                self._log_end(
+                    'stream whole' if reply is None else 'stream failed'
+                )
                 return reply
 
     async def _wait_for_admission(self) -> _admission.AdmissionResult:
@@ -187,12 +189,12 @@
         return engine, None
 
     async def _may_retry(self, lost: _flow.StreamLostError) -> bool:
-        begun = (
+        run_started = (
             lost.unreachable
             or lost.reset
             or self.last_event_id != lost.event_id_before
         )
-        if not (lost.sent and begun) or lost.seconds < COPY_AFTER_S:
+        if not (lost.sent and run_started) or lost.seconds < COPY_AFTER_S:
             # The backup has no copy yet and would refuse the stream.
             self.backup = self.copy = None
         if lost.sent:
@@ -253,8 +255,10 @@
             return self.failure_reply
         if not self.lost_runs:
             raise _parts.not_run_error(self.job, reason)
-        late = self.remaining_s() < MIN_REMAINING_S
-        raise _parts.unknown_outcome_error(self.job, reason, peer, late=late)
+        timed_out = self.remaining_s() < MIN_REMAINING_S
+        raise _parts.unknown_outcome_error(
+            self.job, reason, peer, timed_out=timed_out
+        )
 
     # Attempts at one engine
 
@@ -271,10 +275,10 @@
         engine.memory += self.memory
         if backup is not None:
             backup.memory += self.memory
-        flow = _flow.EngineStream(self, engine, copy, backup, reading)
+        engine_stream = _flow.EngineStream(self, engine, copy, backup, reading)
         _parts.log(
             self.job,
-            'stream placed',
+            'stream dispatched',
             engine=engine.ident,
             copy=copy.address if copy else '',
             backup=backup.ident if backup else '',
@@ -287,13 +291,13 @@
             ),
         )
         try:
-            return await flow.run()
+            return await engine_stream.run()
         finally:
-            flow.close()
-            self.context.placement.ended(engine, flow.reading)
+            engine_stream.close()
+            self.context.placement.ended(engine, engine_stream.reading)
             engine.memory -= self.memory
-            if flow.backup is not None:
-                flow.backup.memory -= self.memory
+            if engine_stream.backup is not None:
+                engine_stream.backup.memory -= self.memory
 
     def choose_backup(
         self, engine: decisions.Placed
