--- a/src/bulrushhold/calls.py
+++ b/src/bulrushhold/calls.py
@@ -1,8 +1,8 @@
-"""Opaque requests: what they carry, and the ports they come and go by.
+"""Data model and ports of the forwarding path for opaque requests.
 
-The forwarding path neither reads nor changes method, path or body. What
-it must know of a request, such as the size of its prompt, the adapter of
-the caller's protocol decodes into a :class:`Call`.
+Method, path and body are forwarded unchanged. Whatever routing needs to know
+of a request, such as the size of its prompt, is decoded into a :class:`Call`
+by the adapter of the caller's protocol.
 """
 
 import abc
@@ -15,12 +15,12 @@
 
 @attrs.frozen
 class Prompt:
-    """What a model engine has to read and may write.
+    """The size of a generation, and the cacheable segments of its prompt.
 
-    :param tokens: of the prompt.
-    :param output_tokens: at most.
-    :param parts: names of the prompt's parts, in order; the last one
-        belongs to the request or to its session.
+    :param tokens: length of the prompt.
+    :param output_tokens: maximum length of the output.
+    :param segments: names of the prompt's segments, in order; the last one
+        is specific to the request or its session.
     """
 
     tokens: int
@@ -30,15 +30,15 @@
 
 @attrs.frozen
 class Call:
-    """One caller's request, as it is to reach a backend server.
+    """A caller's request in the form that backend servers receive.
 
-    :param ident: the caller's own, another one for each of its tries.
+    :param ident: request id set by the caller, unique for each attempt.
     :param target: path and query, byte for byte.
-    :param host: for which host, as the caller sent it.
-    :param key: names the client account.
-    :param headers: to be handed on; none that only we may set.
-    :param wait_s: how long the caller waits.
-    :param after: number of the last event that the caller has.
+    :param host: the ``Host`` header as sent.
+    :param key: API key of the client account.
+    :param headers: headers to forward, without any reserved ones.
+    :param wait_s: the caller's timeout.
+    :param last_event_id: id of the last event that the caller received.
     """
 
     ident: str
@@ -55,15 +55,16 @@
 
 @attrs.frozen
 class Attempt:
-    """One sending of a call to one backend server.
-
-    :param instance: name of the start of it that is meant.
-    :param left_s: how long its work is of any use.
-    :param after: number of the last event that isn't wanted again.
-    :param backup: address of an engine that is to keep a copy of the
-        run's memory; ``''`` for none.
-    :param copy: the copy of the run's memory to go on from.
-    :param fresh: on a new connection.
+    """One attempt to run a call on a backend server.
+
+    :param instance: ident of the expected server process; it changes with
+        each restart.
+    :param remaining_s: time until the caller gives up.
+    :param last_event_id: id of the event after which to resume.
+    :param backup: address of the engine that receives a copy of the run's
+        memory; ``''`` for none.
+    :param copy: copy of the run's memory from which to resume.
+    :param fresh: whether to open a new connection.
     """
 
     address: str
@@ -78,10 +79,10 @@
 
 @attrs.frozen
 class RunCopy:
-    """A copy of a run's memory, as engines name it.
+    """Identifies a copy of a run's memory.
 
-    :param address: of the engine whose name for it this is.
-    :param name: ``''`` for one that was made as the run went on.
+    :param address: address of the engine that assigned the name.
+    :param name: ``''`` for the copy that an engine sends continuously.
     """
 
     address: str
@@ -90,7 +91,7 @@
 
 @attrs.frozen
 class BackendLoad:
-    """Requests at a backend server, of all entries, as it told."""
+    """Load that a backend server reports, across all entries."""
 
     running: int
     waiting: int
@@ -99,14 +100,14 @@
 
 @attrs.frozen
 class AnswerHead:
-    """The beginning of a backend server's answer.
-
-    :param own: the answer names the call that was sent; another one
-        belongs to somebody else.
-    :param genuine: it bears the backend server's mark.
-    :param not_run: the backend server says that it didn't run the call.
-    :param instance: who answered, where told.
-    :param headers: to be handed on to the caller.
+    """Status and headers of a backend server's answer.
+
+    :param headers: headers to forward to the caller.
+    :param matches_request: the answer carries the id of the call.
+    :param from_backend: the answer carries the marker header of backend
+        servers.
+    :param not_run: the backend server states that it did not run the call.
+    :param instance: ident of the answering process, or ``''``.
     """
 
     status: int
@@ -119,7 +120,7 @@
 
 
 class BackendAnswer(abc.ABC):
-    """An answer that is coming in."""
+    """An answer whose body is still being received."""
 
     head: AnswerHead
 
@@ -127,64 +128,66 @@
     async def chunk(self) -> bytes:
         """Return the next bytes, or ``b''`` after the whole body.
 
-        :raises BackendError: where the body ends before it is whole.
+        :raises BackendError: if the body is truncated.
         """
 
     @abc.abstractmethod
     async def body(self) -> bytes:
         """Return the whole body.
 
-        :raises BackendError: where it ends before it is whole.
+        :raises BackendError: if it is truncated.
         """
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Leave the answer; the backend server stops its work on it."""
+        """Close the connection, so that the backend server stops work."""
 
 
 class BackendClient(abc.ABC):
-    """Speaks to backend servers."""
+    """Client of backend servers."""
 
     @abc.abstractmethod
     async def send(self, call: Call, attempt: Attempt) -> BackendAnswer:
-        """Send a call and return the beginning of its answer.
+        """Send a call and return the answer after its headers.
 
-        :raises BackendError: with ``step`` ``connect`` only where no
-            byte of the call can have left.
+        :raises BackendError: its ``step`` is ``connect`` only if no byte of
+            the call can have been sent.
         """
 
     @abc.abstractmethod
     async def alive(self, address: str, timeout: float) -> bool:
-        """Whether a model engine answers within ``timeout`` seconds.
+        """Return whether an engine answers a liveness probe in time.
 
-        Costs it no place; a busy engine answers as an idle one does.
+        A probe takes no slot, and a busy engine answers like an idle one.
+
+        :param timeout: seconds.
         """
 
     @abc.abstractmethod
     async def parts_kept(self, address: str, timeout: float) -> frozenset[str]:
-        """Return the names of the prompts' parts in an engine's memory.
+        """Return the names of the prompt segments cached by an engine.
 
-        Holds up the engine's work a little.
+        The query slows the engine down a little.
 
         :param timeout: seconds.
-        :raises BackendError: where it doesn't tell in time.
+        :raises BackendError: if there is no valid answer in time.
         """
 
     @abc.abstractmethod
     async def copy_run(
         self, call: Call, source: str, target: str, timeout: float
     ) -> RunCopy:
-        """Have an engine copy a run's memory to another one.
+        """Make an engine copy a run's memory to another engine.
 
-        The run goes on meanwhile. Called again, it copies what is new.
+        The run continues meanwhile. Later calls copy only what was added.
 
         :param timeout: seconds.
-        :raises BackendError: where there is no such copy now.
+        :raises BackendError: if the copy could not be made.
         """
 
     @abc.abstractmethod
     async def drop_copy(self, copy: RunCopy, timeout: float) -> None:
-        """Free the memory of a copy that was ordered; errors are of no use.
+        """Free the memory of a requested copy; errors are not raised.
 
         :param timeout: seconds.
         """
@@ -196,7 +199,7 @@
 
 @attrs.frozen
 class Reply:
-    """A whole answer to a caller."""
+    """A complete answer to a caller."""
 
     status: int
     headers: Headers
@@ -204,91 +207,91 @@
 
 
 class CallerStream(abc.ABC):
-    """An answer that goes out to a caller piece by piece."""
+    """A streamed answer to a caller."""
 
     begun: bool
 
     @property
     @abc.abstractmethod
     def connected(self) -> bool:
-        """Whether the caller is still there, as far as is known."""
+        """Whether the caller's connection is open, as far as is known."""
 
     @abc.abstractmethod
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send the beginning of the answer."""
+        """Send status and headers of the answer."""
 
     @abc.abstractmethod
     async def write(self, data: bytes) -> None:
-        """Send the next bytes."""
+        """Send the next bytes of the body."""
 
     @abc.abstractmethod
     async def end(self) -> None:
-        """Tell the caller that the answer is whole."""
+        """Complete the answer."""
 
     @abc.abstractmethod
     def cut(self) -> None:
-        """Break the answer off, so that it can't look whole."""
+        """Abort the answer, so that the caller sees it as truncated."""
 
 
 class EngineDialect(abc.ABC):
-    """The protocol that backend servers speak, in headers."""
+    """Encodes and decodes the protocol of backend servers."""
 
     @abc.abstractmethod
     def request_headers(
         self, call: Call, attempt: Attempt
     ) -> list[tuple[str, str]]:
-        """Return all headers of one sending."""
+        """Return all headers of an attempt."""
 
     @abc.abstractmethod
     def read_head(self, call: Call, status: int, headers: t.Any) -> AnswerHead:
-        """Decode the beginning of an answer.
+        """Decode status and headers of an answer.
 
-        :param headers: a case-insensitive multi-mapping.
+        :param headers: case-insensitive multi-mapping.
         """
 
     @abc.abstractmethod
     def copy_order(self, call: Call, target: str) -> tuple[str, bytes]:
-        """Return path and body of the order to copy a run."""
+        """Return path and body of a request to copy a run."""
 
     @abc.abstractmethod
     def drop_path(self, copy: RunCopy) -> str:
-        """Return the path at which a copy is dropped."""
+        """Return the path under which a copy is deleted."""
 
     @abc.abstractmethod
     def read_copy(self, body: bytes) -> str:
-        """Return the copy's name from the answer to such an order.
+        """Return the copy's name from the answer to a copy request.
 
-        :raises BackendError: where it can't be read.
+        :raises BackendError: if the answer is malformed.
         """
 
     @abc.abstractmethod
     def probe_path(self) -> str:
-        """Return the path at which an engine tells of itself."""
+        """Return the path of an engine's liveness probe."""
 
     @abc.abstractmethod
     def parts_path(self) -> str:
-        """Return the path at which an engine tells what it keeps."""
+        """Return the path of the list of cached prompt segments."""
 
     @abc.abstractmethod
     def read_parts(self, body: bytes) -> frozenset[str]:
-        """Return the names of the parts that an engine keeps.
+        """Return the names of the segments that an engine has cached.
 
-        :raises BackendError: where they can't be read.
+        :raises BackendError: if the answer is malformed.
         """
 
 
 class CallerDialect(abc.ABC):
-    """The protocol that callers speak, decoded at the edge."""
+    """Decodes the protocol of callers."""
 
     @abc.abstractmethod
     def read_call(
         self, method: str, target: str, headers: t.Any, body: bytes
     ) -> Call:
-        """Decode one request.
+        """Decode a request.
 
-        :raises RequestError: where it can't be understood.
+        :raises RequestError: if it is malformed.
         """
 
     @abc.abstractmethod
     def echo(self, ident: str) -> Headers:
-        """Return the headers that tie an answer of ours to a call."""
+        """Return the headers that correlate an answer with its call."""
