--- a/src/bulrushhold/routes.py
+++ b/src/bulrushhold/routes.py
@@ -1,7 +1,7 @@
-"""The route map: where requests go, and who may send them.
+"""The route map: routes, services and client accounts.
 
-Operators replace it whole; the highest version is in force. Entries look
-requests up in a :class:`RouteIndex` made from it.
+Operators replace the map as a whole; the highest version is active. Entries
+look requests up in a :class:`RouteIndex` built from it.
 """
 
 import collections.abc as cabc
@@ -14,7 +14,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What may be done again with a request of a route."""
+    """The delivery semantics of a route's requests."""
 
     IDEMPOTENT = 'idempotent'
     ONCE = 'once'
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Target:
-    """A service that gets a part of a route's requests."""
+    """A service that receives a weighted share of a route's requests."""
 
     service: str
     weight: float
@@ -31,17 +31,17 @@
 
 @attrs.frozen
 class Route:
-    """Requests of one host below one path prefix.
-
-    :param targets: services, by weight; one of them in most routes.
-    :param timeout_s: longest time that a caller is kept waiting.
-    :param aim_s: time within which an answer is wanted; of a stream, its
-        first event.
-    :param gap_s: longest pause wanted between events of a stream.
-    :param priority: 0 goes first.
-    :param max_attempts: backend servers that one request may reach.
-    :param public: needs no key.
-    :param resumable: a stream may go on at another backend server.
+    """Matches requests of one host below one path prefix.
+
+    :param targets: services with their weights.
+    :param timeout_s: maximum duration of a request.
+    :param aim_s: latency objective for the answer, or for the first event of
+        a stream.
+    :param gap_s: objective for the longest pause between events of a stream.
+    :param priority: 0 is the highest.
+    :param max_attempts: limit of attempts that may reach a backend server.
+    :param public: whether requests without a key are accepted.
+    :param resumable: whether a stream may resume on another backend server.
     """
 
     name: str
@@ -59,7 +59,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request may be retried after it may have run."""
         return self.kind is Kind.IDEMPOTENT or (
             self.kind is Kind.STREAM and self.resumable
         )
@@ -67,12 +67,12 @@
 
 @attrs.frozen
 class Service:
-    """Backend servers that do the same work.
+    """A group of interchangeable backend servers.
 
-    :param max_connections: that one backend server takes, of all entries.
-    :param backups: model engines that keep copies of runs of others.
-    :param slots: requests that one of them works on at once; 0: unknown.
-    :param memory_tokens: of one model engine; 0: none.
+    :param max_connections: limit per backend server, across all entries.
+    :param backups: whether engines keep copies of each other's runs.
+    :param slots: concurrent requests per backend server; 0 if unknown.
+    :param memory_tokens: memory of one engine in tokens; 0 for no limit.
     """
 
     name: str
@@ -84,9 +84,9 @@
 
 @attrs.frozen
 class ClientAccount:
-    """A caller known by its keys.
+    """A client account, identified by its keys.
 
-    :param priority: goes before the route's, where set.
+    :param priority: overrides the priority of the route.
     """
 
     name: str
@@ -96,9 +96,9 @@
 
 @attrs.frozen
 class RouteMap:
-    """All routes, services and client accounts of one version.
+    """One version of all routes, services and client accounts.
 
-    :param idle_s: how long a caller may keep an idle connection.
+    :param idle_s: timeout of callers' idle connections.
     """
 
     version: int
@@ -109,9 +109,9 @@
     max_body_bytes: int = 4 << 20
 
     def check(self) -> None:
-        """Refuse a map that couldn't be obeyed.
+        """Validate the map.
 
-        :raises RouteMapError: with the first thing that is wrong.
+        :raises RouteMapError: for the first violation found.
         """
         _unique('service', (service.name for service in self.services))
         names = {service.name for service in self.services}
@@ -123,13 +123,15 @@
 
 def _check_route(route: Route, services: set[str]) -> None:
     if not route.prefix.startswith('/') or not route.prefix.endswith('/'):
-        raise _wrong(route, f'prefix {route.prefix!r} lacks a slash')
+        raise _wrong(
+            route, f'prefix {route.prefix!r} must start and end with a slash'
+        )
     if not route.timeout_s > 0:
-        raise _wrong(route, 'the timeout is 0')
+        raise _wrong(route, 'the timeout must be positive')
     if any(target.weight < 0 for target in route.targets):
-        raise _wrong(route, 'a weight is negative')
+        raise _wrong(route, 'a target weight is negative')
     if not sum(target.weight for target in route.targets) > 0:
-        raise _wrong(route, 'the weights add up to 0')
+        raise _wrong(route, 'the target weights add up to 0')
     for target in route.targets:
         if target.service not in services:
             raise _wrong(route, f'unknown service {target.service!r}')
@@ -143,16 +145,14 @@
     seen = set()
     for value in values:
         if value in seen:
-            # A key may stand here; its text stays out of logs and errors.
+            # Keys are secrets and must not appear in logs and errors.
             shown = '' if what == 'key' else f' {value}'
-            raise errors.RouteMapError(
-                f'the same {what}{shown} stands twice', 'route map'
-            )
+            raise errors.RouteMapError(f'duplicate {what}{shown}', 'route map')
         seen.add(value)
 
 
 class RouteIndex:
-    """Looks requests up in one version of the route map."""
+    """Index for lookups in one version of the route map."""
 
     def __init__(self, route_map: RouteMap) -> None:
         self.map = route_map
@@ -169,10 +169,10 @@
             host[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of ``path``.
+        """Return the route with the longest matching prefix.
 
-        :param host: as the caller sent it, with or without a port.
-        :param path: without the query.
+        :param host: the ``Host`` header, with or without a port.
+        :param path: path without the query.
         """
         prefixes = self.hosts.get(host.partition(':')[0].lower())
         if prefixes is None:
@@ -186,9 +186,9 @@
         return None
 
     def target(self, route: Route, draw: float) -> str:
-        """Return one of the route's services by weight.
+        """Pick one of the route's services by weight.
 
-        :param draw: from 0 up to, but not including, 1.
+        :param draw: random number in [0, 1).
         """
         left = draw * sum(target.weight for target in route.targets)
         for target in route.targets:
