--- a/src/bulrushhold/routes.py
+++ b/src/bulrushhold/routes.py
@@ -113,41 +113,41 @@
 
         :raises RouteMapError: for the first violation found.
         """
-        _unique('service', (service.name for service in self.services))
+        _check_unique('service', (service.name for service in self.services))
         names = {service.name for service in self.services}
-        _unique('route at', ((r.host, r.prefix) for r in self.routes))
+        _check_unique('route at', ((r.host, r.prefix) for r in self.routes))
         for route in self.routes:
             _check_route(route, names)
-        _unique('key', (key for a in self.accounts for key in a.keys))
+        _check_unique('key', (key for a in self.accounts for key in a.keys))
 
 
 def _check_route(route: Route, services: set[str]) -> None:
     if not route.prefix.startswith('/') or not route.prefix.endswith('/'):
-        raise _wrong(
+        raise _invalid(
             route, f'prefix {route.prefix!r} must start and end with a slash'
         )
     if not route.timeout_s > 0:
-        raise _wrong(route, 'the timeout must be positive')
+        raise _invalid(route, 'the timeout must be positive')
     if any(target.weight < 0 for target in route.targets):
-        raise _wrong(route, 'a target weight is negative')
+        raise _invalid(route, 'a target weight is negative')
     if not sum(target.weight for target in route.targets) > 0:
-        raise _wrong(route, 'the target weights add up to 0')
+        raise _invalid(route, 'the target weights add up to 0')
     for target in route.targets:
         if target.service not in services:
-            raise _wrong(route, f'unknown service {target.service!r}')
+            raise _invalid(route, f'unknown service {target.service!r}')
 
 
-def _wrong(route: Route, reason: str) -> errors.RouteMapError:
+def _invalid(route: Route, reason: str) -> errors.RouteMapError:
     return errors.RouteMapError(reason, 'route map', f'route {route.name!r}')
 
 
-def _unique(what: str, values: cabc.Iterable[t.Any]) -> None:
+def _check_unique(kind: str, values: cabc.Iterable[t.Any]) -> None:
     seen = set()
     for value in values:
         if value in seen:
             # Keys are secrets and must not appear in logs and errors.
-            shown = '' if what == 'key' else f' {value}'
-            raise errors.RouteMapError(f'duplicate {what}{shown}', 'route map')
+            shown = '' if kind == 'key' else f' {value}'
+            raise errors.RouteMapError(f'duplicate {kind}{shown}', 'route map')
         seen.add(value)
 
 
