--- a/tests/forwarding/conftest.py
+++ b/tests/forwarding/conftest.py
@@ -40,9 +40,9 @@
 
 @pytest.fixture
 def logged():
-    lines = []
-    sink = loguru.logger.add(lambda line: lines.append(line.record['extra']))
-    yield lines
+    records = []
+    sink = loguru.logger.add(lambda line: records.append(line.record['extra']))
+    yield records
     loguru.logger.remove(sink)
 
 
--- a/tests/forwarding/fakes.py
+++ b/tests/forwarding/fakes.py
@@ -24,11 +24,11 @@
     events: tuple = ()
     then: str = 'end'
     not_run: bool = False
-    own: bool = True
-    genuine: bool = True
+    matches_request: bool = True
+    from_backend: bool = True
     error: str = ''
     body: bytes = b'done'
-    opens_after_s: float = 0.0
+    open_delay_s: float = 0.0
 
 
 class FakeAnswer(calls.BackendAnswer):
@@ -40,15 +40,15 @@
         self.head = calls.AnswerHead(
             script.status,
             (('X-Engine', address),),
-            script.own,
-            script.genuine,
+            script.matches_request,
+            script.from_backend,
             script.not_run,
         )
 
     async def chunk(self):
-        return await self.whole_chunk()
+        return await self.next_chunk()
 
-    async def whole_chunk(self):
+    async def next_chunk(self):
         if self.left:
             return event(self.left.pop(0))
         if self.script.then == 'half':
@@ -80,10 +80,10 @@
         self.log = []
         self.attempts = []
         self.copies = []
-        self.kept = {}
-        self.asked = []
+        self.segments_by_address = {}
+        self.segment_lookups = []
         self.opened = []
-        self.alive_after_s = 0.0
+        self.probe_delay_s = 0.0
 
     async def send(self, call, attempt):
         self.log.append(('send', attempt.address))
@@ -91,8 +91,8 @@
         script = self.scripts.pop(0)
         if script.error:
             raise errors.BackendError('lost', script.error, attempt.address)
-        if script.opens_after_s:
-            await asyncio.sleep(script.opens_after_s)
+        if script.open_delay_s:
+            await asyncio.sleep(script.open_delay_s)
         self.opened.append(attempt.address)
         return FakeAnswer(self, attempt.address, script)
 
@@ -101,16 +101,16 @@
             async with asyncio.timeout(timeout):
                 # Several reads of a socket, as with a real answer.
                 for _ in range(5):
-                    await asyncio.sleep(self.alive_after_s / 5)
+                    await asyncio.sleep(self.probe_delay_s / 5)
         except TimeoutError:
             return False
         return address not in self.dead
 
     async def parts_kept(self, address, timeout):
-        self.asked.append(address)
+        self.segment_lookups.append(address)
         if address in self.dead:
             raise errors.BackendError('silent', 'parts', address)
-        return self.kept.get(address, frozenset())
+        return self.segments_by_address.get(address, frozenset())
 
     async def copy_run(self, call, source, target, timeout):
         self.copies.append((source, target))
@@ -129,7 +129,7 @@
     def __init__(self):
         self.begun = False
         self.data = b''
-        self.ended = self.was_cut = False
+        self.ended = self.aborted = False
         self.connected = True
         self.headers = ()
 
@@ -144,7 +144,7 @@
         self.ended = True
 
     def cut(self):
-        self.was_cut = True
+        self.aborted = True
 
 
 def event(number):
--- a/tests/forwarding/test_fleet.py
+++ b/tests/forwarding/test_fleet.py
@@ -25,7 +25,7 @@
     assert (await run).status == 200
 
 
-async def test_without_a_map_the_answer_is_a_promise_not_a_404(parts, fleet):
+async def test_without_a_map_requests_are_refused_as_not_run(parts, fleet):
     forwarder = forwarding.Forwarder(fleet, parts)
     call = fakes.a_job(parts, routes.Kind.ONCE, wait_s=0.1).call
     with pytest.raises(errors.RequestError) as caught:
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize(('run_s', 'served'), [(1.0, True), (7.0, False)])
-async def test_a_leaving_entry_sends_elsewhere_what_it_would_cut(
+async def test_a_draining_entry_refuses_streams_it_cannot_finish(
     client, parts, fleet, run_s, served
 ):
     # An instance is stopped for planned work, and callers still come to it
@@ -61,13 +61,13 @@
     assert client.log == []
 
 
-async def test_the_map_in_force_never_goes_back(fleet):
+async def test_an_older_map_is_ignored(fleet):
     fleet._take(fakes.a_reply(5))
     fleet._take(fakes.a_reply(4))
     assert fleet.map_version == 5
 
 
-async def test_directory_answers_hold_while_control_is_away(fleet):
+async def test_addresses_stay_available_without_control(fleet):
     entries = [
         messages.ListedEntry(f'e{n}', 'dc', f'10.0.1.{n}:80', n != 3)
         for n in range(1, 5)
@@ -91,22 +91,22 @@
     assert '10.0.1.1:80' not in fleet.addresses(64)
 
 
-async def test_a_silent_control_process_is_not_drawn_again_at_once(fleet):
+async def test_a_failed_control_process_is_not_retried_immediately(fleet):
     # The leader's machine freezes, and the entry looks for another one among
     # three addresses. Drawing the frozen one again costs 0.8 s each time, and
     # a new route map comes too late.
     fleet.seeds = ['frozen', 'b', 'c']
-    asked = []
+    requested = []
 
-    async def watch(address):
-        asked.append(address)
-        if address == 'frozen' and len(asked) < 40:
+    async def poll(address):
+        requested.append(address)
+        if address == 'frozen' and len(requested) < 40:
             raise errors.PeerError('no answer')
         fleet.leader = ''
-        if len(asked) >= 40:
+        if len(requested) >= 40:
             raise asyncio.CancelledError
 
-    fleet._poll = watch
+    fleet._poll = poll
     with pytest.raises(asyncio.CancelledError):
         await fleet.follow()
-    assert asked.count('frozen') <= 1
+    assert requested.count('frozen') <= 1
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -7,7 +7,7 @@
 from tests.forwarding import fakes
 
 
-async def test_a_call_that_may_run_once_is_not_sent_twice(client, parts):
+async def test_a_call_that_may_run_only_once_is_not_sent_twice(client, parts):
     client.scripts = [fakes.Script(error='send')]
     with pytest.raises(errors.RequestError) as caught:
         await fakes.plain(parts, routes.Kind.ONCE)
@@ -20,7 +20,7 @@
     'first',
     [fakes.Script(error='connect'), fakes.Script(status=503, not_run=True)],
 )
-async def test_a_call_that_surely_did_not_run_goes_elsewhere(
+async def test_a_call_that_did_not_run_is_retried_elsewhere(
     client, parts, first
 ):
     client.scripts = [first, fakes.Script()]
@@ -30,7 +30,7 @@
     assert all(attempt.fresh for attempt in client.attempts)
 
 
-async def test_an_own_failure_is_passed_on_where_it_may_run_once(
+async def test_a_server_error_is_returned_for_a_call_that_may_run_only_once(
     client, parts
 ):
     client.scripts = [fakes.Script(status=500, body=b'broken')]
@@ -38,14 +38,16 @@
     assert (reply.status, reply.body) == (500, b'broken')
 
 
-async def test_a_look_up_that_fails_is_tried_elsewhere(client, parts):
+async def test_a_failed_idempotent_call_is_retried_elsewhere(client, parts):
     client.scripts = [fakes.Script(status=500), fakes.Script()]
     reply = await fakes.plain(parts, routes.Kind.IDEMPOTENT)
     assert reply.status == 200
 
 
-@pytest.mark.parametrize('fault', [{'own': False}, {'genuine': False}])
-async def test_somebody_elses_answer_is_never_passed_on(client, parts, fault):
+@pytest.mark.parametrize(
+    'fault', [{'matches_request': False}, {'from_backend': False}]
+)
+async def test_a_mismatched_answer_is_never_forwarded(client, parts, fault):
     # A late answer to another request comes on the kept connection.
     client.scripts = [
         fakes.Script(body=b'theirs', **fault),
@@ -55,7 +57,7 @@
     assert reply.body == b'mine'
 
 
-async def test_the_last_attempt_is_waited_for(client, parts):
+async def test_the_last_attempt_has_no_stall_timeout(client, parts):
     # Two servers are allowed. A first one that is slow is left; leaving the
     # second one too would throw away an answer that is on its way.
     client.scripts = [fakes.Script(then='silent'), fakes.Script(then='silent')]
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -14,16 +14,16 @@
 from tests.forwarding import fakes
 
 
-async def test_a_whole_stream_goes_through(client, parts):
+async def test_a_complete_stream_is_forwarded(client, parts):
     client.scripts = [fakes.Script(events=(1, 2, 3))]
     out, reply = await fakes.stream(parts)
     assert reply is None
     assert out.data == fakes.text(1, 2, 3)
-    assert out.ended and not out.was_cut
+    assert out.ended and not out.aborted
     assert client.attempts[0].backup
 
 
-async def test_a_broken_stream_goes_on_in_the_same_answer(client, parts):
+async def test_a_broken_stream_resumes_in_the_same_answer(client, parts):
     # The engine dies in the middle of an event. The caller sees the next
     # event from another engine, in the same answer; the half event is
     # nowhere in it, and the first engine is left before the second one works.
@@ -42,7 +42,7 @@
     )
 
 
-async def test_the_log_tells_how_long_a_caller_waited(client, parts, logged):
+async def test_the_final_log_record_contains_latencies(client, parts, logged):
     # A caller complains of a pause. Its stream ended whole, and one line says
     # when the first event came and how long the worst pause was.
     client.scripts = [
@@ -57,11 +57,11 @@
     assert 0 <= end['first_s'] <= end['seconds']
 
 
-async def test_each_stream_has_one_closing_line(client, parts, logged):
+async def test_each_stream_logs_one_final_decision(client, parts, logged):
     # Operators ask what became of each stream of an hour. One went out whole,
     # one broke, one was refused since nothing is there, one caller hung up in
     # the middle, one was cut as its entry ended, and one was too large.
-    async def left(connected):
+    async def cancel_stream(connected):
         client.scripts = [fakes.Script(events=(1,), then='silent')]
         out = fakes.FakeCaller()
         job = fakes.a_job(parts, routes.Kind.STREAM)
@@ -79,8 +79,8 @@
     client.scripts = [fakes.Script(events=(1,), then='reset')]
     await fakes.stream(parts, attempts=1)
     broken = client.attempts[-1].address
-    await left(False)
-    await left(True)
+    await cancel_stream(False)
+    await cancel_stream(True)
     parts.placement.capacity = {'engines': 5000}
     with pytest.raises(errors.RequestError):
         await fakes.stream(parts)
@@ -88,13 +88,15 @@
     parts.placement.capacity = {}
     with pytest.raises(errors.RequestError):
         await fakes.stream(parts)
-    closing = (
+    final_decisions = (
         'stream whole',
         'stream ended early',
         'stream cancelled',
         'stream refused',
     )
-    lines = [line for line in logged if line.get('decision') in closing]
+    lines = [
+        line for line in logged if line.get('decision') in final_decisions
+    ]
     assert [(line['decision'], line.get('reason')) for line in lines] == [
         ('stream whole', None),
         ('stream ended early', f'answer {broken}: reset'),
@@ -106,9 +108,7 @@
     assert all(line['seconds'] >= 0 for line in lines)
 
 
-async def test_the_copy_is_asked_for_only_where_one_can_be(
-    client, parts, monkeypatch
-):
+async def test_a_copy_is_used_only_if_it_can_exist(client, parts, monkeypatch):
     # Engines copy a run's memory several times a second: a run that ended
     # before has no copy, and the asking would only cost a refusal.
     client.scripts = [fakes.Script(error='send'), fakes.Script(events=(1,))]
@@ -126,7 +126,7 @@
     assert second.address == first.backup
 
 
-async def test_a_copy_is_made_anew_where_the_backup_is_lost(client, parts):
+async def test_a_lost_backup_is_replaced(client, parts):
     # The engine with the copy crashes, its data centre being the first to
     # go; seconds later the engine that runs the stream crashes too. The
     # caller waits for neither prompt nor events that were there before.
@@ -134,10 +134,10 @@
         fakes.Script(events=(1, 2), then='reset'),
         fakes.Script(events=(3,)),
     ]
-    answer = fakes.FakeAnswer.chunk
+    original_chunk = fakes.FakeAnswer.chunk
     parts.placement.failed('i5', parts.clock(), gone=True)
 
-    async def slowly(self):
+    async def slow_chunk(self):
         await asyncio.sleep(0.02)
         if self.left == [2]:
             backup = client.attempts[0].backup
@@ -145,16 +145,16 @@
             parts.placement.failed(ident, parts.clock(), gone=True)
         if not self.left and self.script.then == 'reset':
             await asyncio.sleep(0.1)
-        return await answer(self)
+        return await original_chunk(self)
 
-    fakes.FakeAnswer.chunk = slowly
+    fakes.FakeAnswer.chunk = slow_chunk
     try:
         with pytest.MonkeyPatch.context() as patch:
             streams = 'bulrushhold.forwarding._streams'
             patch.setattr(f'{streams}.COPY_AFTER_S', 0.0)
             out, _ = await fakes.stream(parts)
     finally:
-        fakes.FakeAnswer.chunk = answer
+        fakes.FakeAnswer.chunk = original_chunk
     first, second = client.attempts
     source, target = client.copies[0]
     assert source == first.address and target != first.backup
@@ -163,9 +163,7 @@
     assert out.data == fakes.text(1, 2, 3)
 
 
-async def test_a_stream_gets_a_copy_once_there_is_room(
-    client, parts, monkeypatch
-):
+async def test_a_copy_is_made_once_memory_is_free(client, parts, monkeypatch):
     """Guards against prompts read twice for want of a copy at the start."""
     streams = 'bulrushhold.forwarding._streams'
     monkeypatch.setattr(f'{streams}.COPY_AFTER_S', 0.0)
@@ -173,17 +171,17 @@
     monkeypatch.setattr(f'{flow}.COPY_RENEWAL_S', 0.05)
     capacity = parts.placement.capacity
     capacity['engines'] = 9000
-    answer = fakes.FakeAnswer.chunk
+    original_chunk = fakes.FakeAnswer.chunk
 
-    async def slowly(self):
+    async def slow_chunk(self):
         await asyncio.sleep(0.02)
         if self.left == [2]:
             capacity['engines'] = 90_000
         if not self.left and self.script.then == 'reset':
             await asyncio.sleep(0.2)
-        return await answer(self)
+        return await original_chunk(self)
 
-    monkeypatch.setattr(fakes.FakeAnswer, 'chunk', slowly)
+    monkeypatch.setattr(fakes.FakeAnswer, 'chunk', slow_chunk)
     client.scripts = [
         fakes.Script(events=(1, 2), then='reset'),
         fakes.Script(events=(3,)),
@@ -197,7 +195,7 @@
 
 
 @pytest.mark.parametrize('then', ['reset', 'crash'])
-async def test_an_engine_that_loses_an_answer_is_not_taken_for_dead(
+async def test_an_engine_that_resets_a_connection_is_not_marked_as_lost(
     client, parts, then
 ):
     # Engines lose a part of their answers for some seconds: callers' streams
@@ -210,30 +208,30 @@
     ]
     out, _ = await fakes.stream(parts)
     assert out.data == fakes.text(1, 2)
-    dead = then == 'crash'
-    ident = parts.placement.load_report('e1', {}, parts.clock()).lost
+    crashed = then == 'crash'
+    lost = parts.placement.load_report('e1', {}, parts.clock()).lost
     engine = f'i{client.attempts[0].address[7]}'
-    assert ident == ([engine] if dead else [])
-    assert (parts.placement.backends[engine].suspect_until > 0) is dead
+    assert lost == ([engine] if crashed else [])
+    assert (parts.placement.backends[engine].suspect_until > 0) is crashed
 
 
-async def test_the_copy_made_last_is_kept_while_its_engine_is_lost(
+async def test_the_last_copy_is_used_if_its_renewal_fails(
     client, parts, monkeypatch
 ):
     # The backup is lost, and a new copy is made elsewhere. Then the engine
     # loses power, just as the copy is to be renewed: the order fails before
     # the loss is known. The stream goes on from the copy made last.
-    order = client.copy_run
+    original_copy_run = client.copy_run
 
     async def copy_run(call, source, target, timeout):
         if client.copies:
             raise errors.BackendError('no answer', 'copy', source)
-        return await order(call, source, target, timeout)
+        return await original_copy_run(call, source, target, timeout)
 
     async def chunk(self):
         if not self.left and self.script.then == 'crash':
             await asyncio.sleep(0.1)
-        return await fakes.FakeAnswer.whole_chunk(self)
+        return await fakes.FakeAnswer.next_chunk(self)
 
     monkeypatch.setattr(client, 'copy_run', copy_run)
     monkeypatch.setattr(fakes.FakeAnswer, 'chunk', chunk)
@@ -255,7 +253,9 @@
     )
 
 
-async def test_repeated_events_are_dropped_and_a_gap_is_a_loss(client, parts):
+async def test_duplicate_events_are_dropped_and_a_gap_fails_the_attempt(
+    client, parts
+):
     client.scripts = [
         fakes.Script(events=(1, 2), then='reset'),
         fakes.Script(events=(2, 3, 5)),
@@ -266,17 +266,19 @@
     assert out.ended
 
 
-async def test_a_stream_with_nowhere_to_go_looks_broken(client, parts):
+async def test_a_stream_without_further_engines_is_aborted(client, parts):
     client.scripts = [fakes.Script(events=(1,), then='reset')] * 5
     client.scripts = [attrs.evolve(s) for s in client.scripts]
     for script in client.scripts[1:]:
         script.events = ()
     out, _ = await fakes.stream(parts)
     assert out.data == fakes.text(1)
-    assert out.was_cut and not out.ended
+    assert out.aborted and not out.ended
 
 
-async def test_a_silent_engine_without_a_sign_of_life_is_left(client, parts):
+async def test_a_stalled_engine_that_fails_its_probe_is_replaced(
+    client, parts
+):
     # The engine loses power: no reset comes. It is asked, gives no answer,
     # and the stream goes on elsewhere within half a second.
     client.scripts = [
@@ -290,9 +292,7 @@
     assert out.data == fakes.text(1, 2)
 
 
-async def test_a_stream_that_reached_nobody_is_refused_as_not_run(
-    client, parts
-):
+async def test_a_stream_without_engines_is_refused_as_not_run(client, parts):
     parts.placement.update([])
     with pytest.raises(errors.RequestError) as caught:
         await fakes.stream(parts)
@@ -301,35 +301,35 @@
     assert caught.value.retry_after > 0
 
 
-async def test_a_caller_that_comes_back_gets_what_it_lacks(client, parts):
+async def test_a_resuming_caller_gets_the_missing_events(client, parts):
     client.scripts = [fakes.Script(events=(8, 9))]
     out, _ = await fakes.stream(parts, after=7)
     assert client.attempts[0].after == 7
     assert out.data == fakes.text(8, 9)
 
 
-async def test_a_caller_that_comes_back_goes_where_its_prompt_is_kept(
-    client, parts
-):
+async def test_a_resuming_caller_is_routed_to_its_cached_prompt(client, parts):
     # All entries lost power, and with them who knew which engine has read the
     # prompt. The engines lost nothing: asked, one of them has it. Another one
     # is silent, and holds the caller up no longer than it is waited for.
-    keepers = parts.placement.likely_keepers('engines', 'p', parts.clock())
-    client.dead.add(keepers[0].address)
-    client.kept[keepers[-1].address] = frozenset(['other', 'p'])
+    candidates = parts.placement.likely_keepers('engines', 'p', parts.clock())
+    client.dead.add(candidates[0].address)
+    client.segments_by_address[candidates[-1].address] = frozenset(
+        ['other', 'p']
+    )
     client.scripts = [fakes.Script(events=(8, 9))]
     out, _ = await fakes.stream(parts, after=7)
-    assert client.attempts[0].address == keepers[-1].address
+    assert client.attempts[0].address == candidates[-1].address
     assert out.data == fakes.text(8, 9)
 
 
-async def test_a_new_caller_has_no_engine_asked_for_its_prompt(client, parts):
+async def test_a_new_caller_causes_no_cache_lookup(client, parts):
     client.scripts = [fakes.Script(events=(1,))]
     await fakes.stream(parts)
-    assert client.asked == []
+    assert client.segment_lookups == []
 
 
-def test_events_are_whole_however_they_arrive():
+def test_events_are_reassembled_from_any_chunks():
     data = fakes.text(1, 2, 3)
     for size in range(1, len(data)):
         splitter = forwarding.EventSplitter()
@@ -341,26 +341,22 @@
         assert not splitter.rest
 
 
-async def test_an_answer_that_opens_while_its_engine_is_asked_is_used(
-    client, parts
-):
+async def test_an_answer_received_during_a_probe_is_used(client, parts):
     """Guards against two engines at work on one stream.
 
     The answer opens while its engine is asked for a sign of life.
     """
-    client.scripts = [fakes.Script(events=(1, 2), opens_after_s=0.56)]
-    client.alive_after_s = 0.12
+    client.scripts = [fakes.Script(events=(1, 2), open_delay_s=0.56)]
+    client.probe_delay_s = 0.12
     client.dead = {f'10.0.0.{n}:80' for n in range(6)}
     out, _ = await fakes.stream(parts, aim_s=3.0)
     assert out.data == fakes.text(1, 2)
     assert len(client.attempts) == 1
 
 
-async def test_an_answer_that_opens_as_its_caller_leaves_is_closed(
-    client, parts
-):
+async def test_an_answer_received_after_cancellation_is_closed(client, parts):
     """Guards against an engine that goes on for a caller that has left."""
-    client.scripts = [fakes.Script(events=(1,), opens_after_s=0.02)]
+    client.scripts = [fakes.Script(events=(1,), open_delay_s=0.02)]
     run = asyncio.ensure_future(fakes.stream(parts))
     while not client.opened:
         await asyncio.sleep(0)
@@ -371,12 +367,12 @@
     assert client.log == [('send', address), ('close', address)]
 
 
-async def test_a_process_that_wakes_late_takes_no_engine_for_dead(client):
+async def test_a_blocked_event_loop_does_not_fail_probes(client):
     """Guards against a busy process that blames engines for its own delay.
 
     The engine answers at once; the process gets to its sockets each 0.1 s.
     """
-    client.alive_after_s = 0.01
+    client.probe_delay_s = 0.01
     loop = asyncio.get_running_loop()
     handles = []
 
--- a/tests/test_fault_steps.py
+++ b/tests/test_fault_steps.py
@@ -10,7 +10,7 @@
 LAST = COUNT
 
 
-async def dispatched(system):
+async def wait_for_dispatch(system):
     """Wait until an engine has the request, and return that engine."""
     await conftest.until(
         lambda: any(e.running for e in system.engines.values())
@@ -18,18 +18,18 @@
     return next(e for e in system.engines.values() if e.running)
 
 
-def reading(system):
+def start_reading(system):
     return asyncio.ensure_future(
         generations.read(system.client(), count=COUNT)
     )
 
 
-def hurry(system):
+def speed_up(system):
     for engine in system.engines.values():
         engine.gap_s = 0.005
 
 
-async def test_a_caller_gone_before_the_first_token_is_noticed_by_it(
+async def test_a_disconnect_before_the_first_token_stops_the_engine(
     make_system,
 ):
     # The caller leaves while its prompt is being read. The entry learns so
@@ -38,27 +38,29 @@
     system = await make_system(
         engines=1, gap_s=0.2, recovery={'orphan_s': 0.05}
     )
-    run = reading(system)
-    engine = await dispatched(system)
+    run = start_reading(system)
+    engine = await wait_for_dispatch(system)
     run.cancel()
     await asyncio.gather(run, return_exceptions=True)
     await conftest.until(lambda: not engine.running)
     assert engine.generated < COUNT
 
 
-async def test_an_entry_drained_before_the_first_token_serves_it(make_system):
+async def test_an_entry_draining_before_the_first_token_completes_the_stream(
+    make_system,
+):
     system = await make_system(entries=2, gap_s=0.3)
-    run = reading(system)
-    await dispatched(system)
+    run = start_reading(system)
+    await wait_for_dispatch(system)
     entry = system.entries[generations.serving(system)]
     draining = asyncio.ensure_future(entry.drain())
     await asyncio.sleep(0.05)
-    hurry(system)
+    speed_up(system)
     conftest.assert_whole(await run, COUNT)
     await draining
 
 
-async def test_an_entry_drained_after_the_last_token_ends_its_answer(
+async def test_an_entry_draining_after_the_last_token_ends_the_answer(
     make_system,
 ):
     # The end mark is still to come when the entry is told to leave.
@@ -74,16 +76,16 @@
     await asyncio.gather(*draining)
 
 
-async def test_an_engine_that_leaves_before_the_first_token_serves_it(
+async def test_an_engine_draining_before_the_first_token_completes_the_stream(
     make_system,
 ):
     # The platform lists the engine as leaving while it reads the prompt: it
     # finishes what it has.
     system = await make_system(gap_s=0.3)
-    run = reading(system)
-    engine = await dispatched(system)
+    run = start_reading(system)
+    engine = await wait_for_dispatch(system)
     await system.relist(leaving=[engine.name])
-    hurry(system)
+    speed_up(system)
     tokens = await run
     conftest.assert_whole(tokens, COUNT)
     assert tokens[0].startswith(engine.name)
@@ -96,9 +98,9 @@
     # The caller has nothing yet when both die. Another entry begins the
     # text at another engine; nothing of the first one is heard.
     system = await make_system(entries=3, gap_s=0.3)
-    run = reading(system)
-    engine = await dispatched(system)
-    hurry(system)
+    run = start_reading(system)
+    engine = await wait_for_dispatch(system)
+    speed_up(system)
     await engine.crash()
     await system.kill_entry(generations.serving(system))
     tokens = await run
@@ -120,7 +122,7 @@
     conftest.assert_whole(tokens, COUNT)
 
 
-async def test_a_model_that_no_engine_has_any_more_is_refused_as_not_run(
+async def test_a_model_without_engines_is_refused_as_not_run(
     make_system,
 ):
     system = await make_system(engines=1)
