--- a/tests/forwarding/__init__.py
+++ b/tests/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Opaque requests over backend servers that fail in every way."""
+"""Tests of the forwarding path with failing backend servers."""
--- a/tests/forwarding/conftest.py
+++ b/tests/forwarding/conftest.py
@@ -1,4 +1,4 @@
-"""The parts of one forwarding entry, over fakes."""
+"""Fixtures of a forwarding entry with fake network peers."""
 
 import random
 
--- a/tests/forwarding/fakes.py
+++ b/tests/forwarding/fakes.py
@@ -1,4 +1,4 @@
-"""Backend servers, callers and control as scripts play them."""
+"""Scripted fakes of backend servers, callers and control."""
 
 import asyncio
 
@@ -13,11 +13,13 @@
 
 @attrs.define
 class Script:
-    """What one engine does with the next request.
+    """How an engine answers the next request.
 
-    :param events: numbers of the events it sends.
-    :param then: ``end``, ``reset``, ``crash``, ``silent`` or ``half`` an
-        event.
+    :param events: ids of the events that it sends.
+    :param then: what follows the events: ``end``, ``reset``, ``crash``,
+        ``silent``, or ``half`` an event and a reset.
+    :param error: step at which the request fails, or ``''``.
+    :param open_delay_s: delay before the answer's headers.
     """
 
     status: int = 200
@@ -99,7 +101,7 @@
     async def alive(self, address, timeout):
         try:
             async with asyncio.timeout(timeout):
-                # Several reads of a socket, as with a real answer.
+                # Several event loop steps, like reads of a real socket.
                 for _ in range(5):
                     await asyncio.sleep(self.probe_delay_s / 5)
         except TimeoutError:
--- a/tests/forwarding/test_fleet.py
+++ b/tests/forwarding/test_fleet.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the system, and how it serves before that."""
+"""Tests of the entry's cluster view, and of requests without a route map."""
 
 import asyncio
 
@@ -14,8 +14,7 @@
 async def test_a_request_at_a_starting_entry_waits_for_the_map(
     client, parts, fleet
 ):
-    # All instances lost power and start together. A caller comes 0.1 s
-    # before the entry knows the map, and may come back only once.
+    # Guards against refusals after a cold start, just before the map arrives.
     client.scripts = [fakes.Script()]
     forwarder = forwarding.Forwarder(fleet, parts)
     call = fakes.a_job(parts, routes.Kind.IDEMPOTENT).call
@@ -38,10 +37,7 @@
 async def test_a_draining_entry_refuses_streams_it_cannot_finish(
     client, parts, fleet, run_s, served
 ):
-    # An instance is stopped for planned work, and callers still come to it
-    # for seconds. It has five seconds left. A stream that takes seven would
-    # be cut in the middle: its caller hears at once that nothing ran, and is
-    # served by another entry.
+    # Guards against streams that are aborted midway as the process exits.
     fleet._take(fakes.a_reply(kind=routes.Kind.STREAM))
     forwarder = forwarding.Forwarder(fleet, parts)
     forwarder.ends_at = parts.clock() + 5.0
@@ -92,9 +88,8 @@
 
 
 async def test_a_failed_control_process_is_not_retried_immediately(fleet):
-    # The leader's machine freezes, and the entry looks for another one among
-    # three addresses. Drawing the frozen one again costs 0.8 s each time, and
-    # a new route map comes too late.
+    # Guards against repeated timeouts at a frozen leader, which delay new
+    # route maps.
     fleet.seeds = ['frozen', 'b', 'c']
     requested = []
 
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -1,4 +1,4 @@
-"""Plain requests over backend servers that fail."""
+"""Tests of plain requests with failing backend servers."""
 
 import pytest
 
@@ -48,7 +48,7 @@
     'fault', [{'matches_request': False}, {'from_backend': False}]
 )
 async def test_a_mismatched_answer_is_never_forwarded(client, parts, fault):
-    # A late answer to another request comes on the kept connection.
+    # Guards against a late answer to another request on a reused connection.
     client.scripts = [
         fakes.Script(body=b'theirs', **fault),
         fakes.Script(body=b'mine'),
@@ -58,8 +58,7 @@
 
 
 async def test_the_last_attempt_has_no_stall_timeout(client, parts):
-    # Two servers are allowed. A first one that is slow is left; leaving the
-    # second one too would throw away an answer that is on its way.
+    # Guards against giving up the last attempt before the deadline.
     client.scripts = [fakes.Script(then='silent'), fakes.Script(then='silent')]
     with pytest.raises(errors.RequestError) as caught:
         await fakes.plain(
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams of events over engines that fail in every way."""
+"""Tests of streams with failing engines."""
 
 import asyncio
 import time
@@ -24,9 +24,8 @@
 
 
 async def test_a_broken_stream_resumes_in_the_same_answer(client, parts):
-    # The engine dies in the middle of an event. The caller sees the next
-    # event from another engine, in the same answer; the half event is
-    # nowhere in it, and the first engine is left before the second one works.
+    # Guards against partial events, and against two engines that work on one
+    # stream at the same time.
     client.scripts = [
         fakes.Script(events=(1, 2), then='half'),
         fakes.Script(events=(3, 4)),
@@ -43,8 +42,7 @@
 
 
 async def test_the_final_log_record_contains_latencies(client, parts, logged):
-    # A caller complains of a pause. Its stream ended whole, and one line says
-    # when the first event came and how long the worst pause was.
+    # Guards against pauses that operators cannot find in the log.
     client.scripts = [
         fakes.Script(events=(1,), then='reset'),
         fakes.Script(events=(2,)),
@@ -58,9 +56,7 @@
 
 
 async def test_each_stream_logs_one_final_decision(client, parts, logged):
-    # Operators ask what became of each stream of an hour. One went out whole,
-    # one broke, one was refused since nothing is there, one caller hung up in
-    # the middle, one was cut as its entry ended, and one was too large.
+    # Guards against streams whose outcome is missing from the log.
     async def cancel_stream(connected):
         client.scripts = [fakes.Script(events=(1,), then='silent')]
         out = fakes.FakeCaller()
@@ -109,8 +105,8 @@
 
 
 async def test_a_copy_is_used_only_if_it_can_exist(client, parts, monkeypatch):
-    # Engines copy a run's memory several times a second: a run that ended
-    # before has no copy, and the asking would only cost a refusal.
+    # Guards against a refused attempt for a run that failed before its first
+    # copy.
     client.scripts = [fakes.Script(error='send'), fakes.Script(events=(1,))]
     await fakes.stream(parts)
     assert client.attempts[1].copy is None
@@ -127,9 +123,8 @@
 
 
 async def test_a_lost_backup_is_replaced(client, parts):
-    # The engine with the copy crashes, its data centre being the first to
-    # go; seconds later the engine that runs the stream crashes too. The
-    # caller waits for neither prompt nor events that were there before.
+    # Guards against a second prefill if the backup crashes first, and then
+    # the engine of the stream.
     client.scripts = [
         fakes.Script(events=(1, 2), then='reset'),
         fakes.Script(events=(3,)),
@@ -164,7 +159,7 @@
 
 
 async def test_a_copy_is_made_once_memory_is_free(client, parts, monkeypatch):
-    """Guards against prompts read twice for want of a copy at the start."""
+    """Guards against a second prefill if no memory was free at the start."""
     streams = 'bulrushhold.forwarding._streams'
     monkeypatch.setattr(f'{streams}.COPY_AFTER_S', 0.0)
     flow = 'bulrushhold.forwarding._flow'
@@ -198,10 +193,7 @@
 async def test_an_engine_that_resets_a_connection_is_not_marked_as_lost(
     client, parts, then
 ):
-    # Engines lose a part of their answers for some seconds: callers' streams
-    # go on elsewhere. They run others' streams all the while; taken for dead
-    # by all entries, hardly an engine would be left to place streams at, and
-    # callers would be refused.
+    # Guards against ejecting live engines that only lose some connections.
     client.scripts = [
         fakes.Script(events=(1,), then=then),
         fakes.Script(events=(2,)),
@@ -218,9 +210,8 @@
 async def test_the_last_copy_is_used_if_its_renewal_fails(
     client, parts, monkeypatch
 ):
-    # The backup is lost, and a new copy is made elsewhere. Then the engine
-    # loses power, just as the copy is to be renewed: the order fails before
-    # the loss is known. The stream goes on from the copy made last.
+    # Guards against dropping the last copy if its renewal fails because the
+    # engine of the stream is crashing.
     original_copy_run = client.copy_run
 
     async def copy_run(call, source, target, timeout):
@@ -279,8 +270,7 @@
 async def test_a_stalled_engine_that_fails_its_probe_is_replaced(
     client, parts
 ):
-    # The engine loses power: no reset comes. It is asked, gives no answer,
-    # and the stream goes on elsewhere within half a second.
+    # Guards against long stalls after a power loss, which sends no reset.
     client.scripts = [
         fakes.Script(events=(1,), then='silent'),
         fakes.Script(events=(2,)),
@@ -309,9 +299,8 @@
 
 
 async def test_a_resuming_caller_is_routed_to_its_cached_prompt(client, parts):
-    # All entries lost power, and with them who knew which engine has read the
-    # prompt. The engines lost nothing: asked, one of them has it. Another one
-    # is silent, and holds the caller up no longer than it is waited for.
+    # Guards against a second prefill after the loss of all entries, also if
+    # one of the engines does not answer the cache lookup.
     candidates = parts.placement.likely_keepers('engines', 'p', parts.clock())
     client.dead.add(candidates[0].address)
     client.segments_by_address[candidates[-1].address] = frozenset(
@@ -342,9 +331,9 @@
 
 
 async def test_an_answer_received_during_a_probe_is_used(client, parts):
-    """Guards against two engines at work on one stream.
+    """Guards against two engines that work on one stream.
 
-    The answer opens while its engine is asked for a sign of life.
+    The answer's headers arrive while a liveness probe fails.
     """
     client.scripts = [fakes.Script(events=(1, 2), open_delay_s=0.56)]
     client.probe_delay_s = 0.12
@@ -355,7 +344,7 @@
 
 
 async def test_an_answer_received_after_cancellation_is_closed(client, parts):
-    """Guards against an engine that goes on for a caller that has left."""
+    """Guards against an engine that runs on for a disconnected caller."""
     client.scripts = [fakes.Script(events=(1,), open_delay_s=0.02)]
     run = asyncio.ensure_future(fakes.stream(parts))
     while not client.opened:
@@ -368,9 +357,9 @@
 
 
 async def test_a_blocked_event_loop_does_not_fail_probes(client):
-    """Guards against a busy process that blames engines for its own delay.
+    """Guards against a busy process that takes live engines for dead.
 
-    The engine answers at once; the process gets to its sockets each 0.1 s.
+    The engine answers at once, but each step of the event loop takes 0.1 s.
     """
     client.probe_delay_s = 0.01
     loop = asyncio.get_running_loop()
--- a/tests/test_fault_steps.py
+++ b/tests/test_fault_steps.py
@@ -1,4 +1,4 @@
-"""Faults before the first token and after the last one."""
+"""Tests of faults before the first token and after the last one."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 
 async def wait_for_dispatch(system):
-    """Wait until an engine has the request, and return that engine."""
+    """Wait until an engine runs the request, and return the engine."""
     await conftest.until(
         lambda: any(e.running for e in system.engines.values())
     )
@@ -32,9 +32,8 @@
 async def test_a_disconnect_before_the_first_token_stops_the_engine(
     make_system,
 ):
-    # The caller leaves while its prompt is being read. The entry learns so
-    # as it shows the first token; the stream is kept for orphan_s, and then
-    # the engine is told to stop.
+    # Guards against an engine that runs on for a disconnected caller. The
+    # stream is kept for orphan_s, so that the caller can reconnect.
     system = await make_system(
         engines=1, gap_s=0.2, recovery={'orphan_s': 0.05}
     )
@@ -63,7 +62,7 @@
 async def test_an_entry_draining_after_the_last_token_ends_the_answer(
     make_system,
 ):
-    # The end mark is still to come when the entry is told to leave.
+    # Guards against a missing end marker if the drain starts just before it.
     system = await make_system(entries=2, gap_s=0.02)
     draining = []
 
@@ -79,8 +78,7 @@
 async def test_an_engine_draining_before_the_first_token_completes_the_stream(
     make_system,
 ):
-    # The platform lists the engine as leaving while it reads the prompt: it
-    # finishes what it has.
+    # Guards against restarting a stream whose engine is only draining.
     system = await make_system(gap_s=0.3)
     run = start_reading(system)
     engine = await wait_for_dispatch(system)
@@ -95,8 +93,7 @@
 async def test_an_engine_and_its_entry_killed_before_the_first_token(
     make_system,
 ):
-    # The caller has nothing yet when both die. Another entry begins the
-    # text at another engine; nothing of the first one is heard.
+    # Guards against mixed output: the stream restarts at another engine.
     system = await make_system(entries=3, gap_s=0.3)
     run = start_reading(system)
     engine = await wait_for_dispatch(system)
@@ -109,8 +106,8 @@
 
 
 async def test_an_entry_killed_after_the_last_token(make_system):
-    # The caller has all tokens, but no end mark. It asks another entry for
-    # what comes after the last one, and hears that nothing does.
+    # Guards against an error if only the end marker is missing: another entry
+    # completes the stream without further tokens.
     system = await make_system(entries=3, gap_s=0.05)
 
     async def kill(tokens):
