--- a/src/bulrushhold/calls.py
+++ b/src/bulrushhold/calls.py
@@ -18,7 +18,7 @@
     """The size of a generation, and the cacheable segments of its prompt.
 
     :param tokens: length of the prompt.
-    :param output_tokens: maximum length of the output.
+    :param max_output_tokens: limit of the output.
     :param segments: names of the prompt's segments, in order; the last one
         is specific to the request or its session.
     """
--- a/src/bulrushhold/forwarding/_fleet.py
+++ b/src/bulrushhold/forwarding/_fleet.py
@@ -75,7 +75,7 @@
         self.entries_version = ''
         self.nodes_version = ''
         self.summary_number = 0
-        self.started = asyncio.Event()
+        self.became_ready = asyncio.Event()
         self.load_changed = asyncio.Event()
         placement.on_news = self.load_changed.set
         self.on_change: list[cabc.Callable[[], None]] = []
@@ -125,7 +125,10 @@
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _poll(self, address: str) -> bool:
-        """Long-poll a control process; return whether it has a leader."""
+        """Long-poll a control process; return whether its state is current.
+
+        A process without contact to the leader still replies with loads.
+        """
         if address != self.server:
             # Summary numbers are local to each control process.
             self.summary_number = 0
@@ -268,7 +271,7 @@
 
     def _signal_if_ready(self) -> None:
         if self.ready:
-            self.started.set()
+            self.became_ready.set()
 
     # Fallback without control
 
--- a/src/bulrushhold/forwarding/_forwarder.py
+++ b/src/bulrushhold/forwarding/_forwarder.py
@@ -72,7 +72,7 @@
         wait = min(START_WAIT_S, call.wait_s * START_WAIT_SHARE)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait):
-                await self.fleet.started.wait()
+                await self.fleet.became_ready.wait()
 
     def _accept(self, call: calls.Call, now: float) -> _parts.Job:
         index = self.fleet.index
@@ -87,7 +87,7 @@
         route = index.find(call.host, path)
         if route is None:
             raise errors.RequestError('no such route', 'accept', status=404)
-        account = _account(index, route, call)
+        account = _authenticate(index, route, call)
         service = index.target(route, random.random())
         if route.kind is routes.Kind.STREAM:
             self._refuse_unfinishable(service, route, now)
@@ -128,7 +128,7 @@
             )
 
 
-def _account(
+def _authenticate(
     index: routes.RouteIndex, route: routes.Route, call: calls.Call
 ) -> str:
     account = index.accounts.get(call.key)
