--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -259,9 +259,9 @@
             self.renewal = asyncio.ensure_future(self._renew_copy())
 
     def _has_copy(self) -> bool:
-        return self.backup is not None and self._keeps_copy(self.backup)
+        return self.backup is not None and self._may_hold_copy(self.backup)
 
-    def _keeps_copy(self, backup: decisions.Placed) -> bool:
+    def _may_hold_copy(self, backup: decisions.Placed) -> bool:
         since = self.stream.backup_since
         return self.context.placement.keeps_copy(backup, since)
 
@@ -274,7 +274,7 @@
                 continue
             self._set_backup(target)
             copied_at = float('-inf')
-            while self._keeps_copy(target):
+            while self._may_hold_copy(target):
                 now = self.context.clock()
                 try:
                     stream.copy = await self.context.client.copy_run(
--- a/src/bulrushhold/forwarding/_prompts.py
+++ b/src/bulrushhold/forwarding/_prompts.py
@@ -9,7 +9,7 @@
 LOOKUP_TIMEOUT_S: t.Final = 0.1
 
 
-async def find_prompt(
+async def find_cached_prompt(
     context: _parts.Parts, job: _parts.Job, segment: str
 ) -> bool:
     """Return whether an engine has a prompt cached, and record which.
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -128,7 +128,7 @@
                 TOO_LARGE_RETRY_S,
             )
         resumes = self.job.call.after is not None
-        if resumes and await _prompts.find_prompt(
+        if resumes and await _prompts.find_cached_prompt(
             self.context, self.job, self.last_segment
         ):
             # A cached prompt needs no prefill and delays nobody.
--- a/src/bulrushhold/routes.py
+++ b/src/bulrushhold/routes.py
@@ -190,9 +190,9 @@
 
         :param draw: random number in [0, 1).
         """
-        left = draw * sum(target.weight for target in route.targets)
+        remaining = draw * sum(target.weight for target in route.targets)
         for target in route.targets:
-            left -= target.weight
-            if left < 0:
+            remaining -= target.weight
+            if remaining < 0:
                 return target.service
         return max(route.targets, key=lambda target: target.weight).service
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -365,11 +365,11 @@
     loop = asyncio.get_running_loop()
     handles = []
 
-    def occupy():
+    def block():
         time.sleep(0.1)
-        handles.append(loop.call_soon(occupy))
+        handles.append(loop.call_soon(block))
 
-    occupy()
+    block()
     alive = await liveness.is_alive(client, '10.0.0.1:80')
     handles[-1].cancel()
     assert alive
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -95,8 +95,8 @@
     # Guards against a concurrent or delayed update that reverts a newer map.
     state = decisions.ReplicatedState()
     outcomes = [
-        messages.decode(state.apply(messages.encode(order))).version
-        for order in (
+        messages.decode(state.apply(messages.encode(put))).version
+        for put in (
             make_put(3),
             make_put(3, 'else.example'),
             make_put(2),
