--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -190,7 +190,7 @@
 
 
 @pytest.mark.parametrize('then', ['reset', 'crash'])
-async def test_an_engine_that_resets_a_connection_is_not_marked_as_lost(
+async def test_an_engine_is_marked_as_lost_only_if_it_crashed(
     client, parts, then
 ):
     # Guards against ejecting live engines that only lose some connections.
