--- a/src/bulrushhold/forwarding/_admission.py
+++ b/src/bulrushhold/forwarding/_admission.py
@@ -1,4 +1,4 @@
-"""Holds a stream until admission control places or refuses it."""
+"""Queues a stream until admission control admits or rejects it."""
 
 import asyncio
 import collections.abc as cabc
@@ -11,47 +11,47 @@
 
 
 @attrs.frozen
-class Admission:
-    """What admission control decided in the end.
+class AdmissionResult:
+    """The final decision of admission control.
 
-    :param comes: an engine can take the stream now.
-    :param retry_after_s: when its caller may try again, if none can.
+    :param admitted: an engine can take the stream now.
+    :param retry_after_s: delay after which a rejected caller may retry.
     """
 
-    comes: bool
+    admitted: bool
     retry_after_s: float
 
 
 async def wait_for_admission(
-    parts: _parts.Parts,
+    context: _parts.Parts,
     job: _parts.Job,
-    look: cabc.Callable[[], decisions.CapacityEstimate],
+    estimate_capacity: cabc.Callable[[], decisions.CapacityEstimate],
     *,
-    since: float,
+    waiting_since: float,
     begun: bool,
-) -> Admission:
-    """Wait until an engine can take a stream without delay to others.
+) -> AdmissionResult:
+    """Wait until an engine can take a stream without delaying others.
 
-    :param look: estimates what engines could do for it.
-    :param since: when its caller began to wait.
-    :param begun: the caller has a part of it.
+    :param estimate_capacity: returns the current estimate for this stream.
+    :param waiting_since: when the caller started to wait for an event.
+    :param begun: the caller has already received events of the stream.
     """
-    admission, service = parts.admission, job.service
-    now = began = parts.clock()
+    admission, service = context.admission, job.service
+    now = started = context.clock()
     outcome = decisions.AdmissionDecision.WAIT
     admission.waiting[service] += 1
     try:
         while True:
-            estimate = look()
-            entries = parts.budget.entries
+            estimate = estimate_capacity()
+            entries = context.budget.entries
             queue_s = admission.queue_s(service, estimate, entries, now)
             outcome = admission.decide(
                 estimate,
-                waited_s=now - since,
-                left_s=job.end - now,
+                waited_s=now - waiting_since,
+                left_s=job.deadline - now,
                 aim_s=job.route.aim_s,
                 queue_s=queue_s,
-                arrives=now == began,
+                arrives=now == started,
                 begun=begun,
             )
             if outcome is decisions.AdmissionDecision.PLACE:
@@ -62,24 +62,24 @@
                     outcome = decisions.AdmissionDecision.WAIT
             if outcome is not decisions.AdmissionDecision.WAIT:
                 break
-            if now == began:
-                parts.placement.on_news()
+            if now == started:
+                context.placement.on_news()
             admission.held(now)
             await asyncio.sleep(
                 decisions.ADMISSION_CHECK_S * (0.5 + random.random())
             )
-            now = parts.clock()
+            now = context.clock()
     finally:
         admission.waiting[service] -= 1
-    if now > began:
+    if now > started:
         _parts.log(
             job,
-            'stream held',
-            seconds=round(now - began, 3),
+            'stream queued',
+            seconds=round(now - started, 3),
             outcome=outcome.value,
             first_s=round(estimate.first_s, 2),
             engines=estimate.engines,
             waiting=admission.waiting[service],
         )
-    comes = outcome is decisions.AdmissionDecision.PLACE
-    return Admission(comes, decisions.retry_after_s(queue_s))
+    admitted = outcome is decisions.AdmissionDecision.PLACE
+    return AdmissionResult(admitted, decisions.retry_after_s(queue_s))
--- a/src/bulrushhold/forwarding/_fleet.py
+++ b/src/bulrushhold/forwarding/_fleet.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the system: route map, backends and entries."""
+"""The entry's view of the cluster: route map, backends and entries."""
 
 import asyncio
 import collections.abc as cabc
@@ -17,32 +17,33 @@
 from bulrushhold import ports
 from bulrushhold import routes
 
-HOLD_S: t.Final = 0.3
-# Over a hold by what a reply takes on a slow link and a busy leader.
-REPLY_S: t.Final = 0.5
-PAUSE_S: t.Final = 0.05
-# Until a report of lost engines is sent again.
-EVENTS_S: t.Final = 0.3
-# A data centre's engines are lost within a few ms; one message tells them.
-SHARE_S: t.Final = 0.01
-# Again without news: a new leader has heard nothing, and the traffic ages.
-SHARE_AGAIN_S: t.Final = 1.0
-# Without news of backends for this long an entry reads the list itself: a
-# server that leaves must get no new request after 3 s.
-LIST_STALE_S: t.Final = 1.2
+LONG_POLL_S: t.Final = 0.3
+# Added to the long poll for a slow link and a busy leader.
+REPLY_MARGIN_S: t.Final = 0.5
+RETRY_PAUSE_S: t.Final = 0.05
+URGENT_REPORT_TIMEOUT_S: t.Final = 0.3
+# Batches the engines of a lost data centre into one report.
+REPORT_INTERVAL_S: t.Final = 0.01
+# Unchanged load is reported again: a new leader has no reports yet, and
+# traffic counts expire.
+REPORT_REFRESH_S: t.Final = 1.0
+# An older backend list is read from the platform directly, so that servers
+# that are shutting down get no new requests.
+LIST_MAX_AGE_S: t.Final = 1.2
 LIST_TIMEOUT_S: t.Final = 1.0
-# Control needs as long for an election after a start of all.
-FIRST_LIST_S: t.Final = 0.9
-# Calls a second to the list that entries may make together in that case.
+# Covers a leader election after a cold start of the whole system.
+FIRST_LIST_DELAY_S: t.Final = 0.9
+# Limit for all entries together while they read the list directly.
 LIST_CALLS_PER_S: t.Final = 12.0
 
 
 class Fleet:
-    """Follows control, and keeps what it last said.
+    """Watches control processes and caches their latest replies.
 
-    :param me: this entry, as control is to list it.
+    :param own_entry: this entry, as control lists it.
     :param seeds: peer addresses of control processes; may be out of date.
-    :param source: the platform's list, for when control is away.
+    :param backend_list: the platform's list, read while control is
+        unreachable.
     """
 
     def __init__(
@@ -50,7 +51,7 @@
         me: messages.ListedEntry,
         seeds: list[str],
         transport: ports.Transport,
-        source: ports.BackendList,
+        backend_list: ports.BackendList,
         placement: decisions.Placement,
         budget: decisions.RepeatBudget,
         crashers: decisions.Crashers,
@@ -58,7 +59,7 @@
     ) -> None:
         self.me = me
         self.transport = transport
-        self.source = source
+        self.backend_list = backend_list
         self.placement = placement
         self.budget = budget
         self.crashers = crashers
@@ -73,28 +74,28 @@
         self.entries: list[messages.ListedEntry] = []
         self.entries_version = ''
         self.nodes_version = ''
-        self.loads_number = 0
-        self.started = asyncio.Event()
-        self.seen = asyncio.Event()
-        placement.on_news = self.seen.set
-        self.changed: list[cabc.Callable[[], None]] = []
+        self.summary_number = 0
+        self.became_ready = asyncio.Event()
+        self.load_changed = asyncio.Event()
+        placement.on_news = self.load_changed.set
+        self.on_change: list[cabc.Callable[[], None]] = []
 
     @property
     def map_version(self) -> int:
-        """Version of the route map in force here; 0 for none."""
+        """Version of the active route map; 0 before the first one."""
         return self.index.map.version if self.index else 0
 
     @property
     def ready(self) -> bool:
-        """Whether requests can be served."""
+        """Whether this entry has a route map and backend servers."""
         return self.index is not None and bool(self.placement.backends)
 
     def leave(self) -> None:
-        """Take no new callers any more."""
+        """Advertise this entry as not ready for new callers."""
         self.me = attrs.evolve(self.me, ready=False)
 
     def count(self) -> int:
-        """Return the number of entries, this one included."""
+        """Return the number of entries, including this one."""
         return max(1, len(self.entries))
 
     @property
@@ -107,11 +108,11 @@
         self.servers.seeds = seeds
 
     async def follow(self) -> None:
-        """Hold a long poll at a control process, again and again."""
+        """Long-poll a control process forever, failing over on errors."""
         while True:
             address = self.servers.choose(self.server, time.monotonic())
             try:
-                answered = await self._watch(address)
+                answered = await self._poll(address)
             except errors.PeerError as error:
                 answered = False
                 if self.server == address:
@@ -121,29 +122,32 @@
                 self.servers.failed(address, time.monotonic())
             if not answered:
                 self.server = ''
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
 
-    async def _watch(self, address: str) -> bool:
-        """Poll a control process; return whether control answers there."""
+    async def _poll(self, address: str) -> bool:
+        """Long-poll a control process; return whether its state is current.
+
+        A process without contact to the leader still replies with loads.
+        """
         if address != self.server:
-            # Numbers of another process's summaries mean nothing here.
-            self.loads_number = 0
+            # Summary numbers are local to each control process.
+            self.summary_number = 0
         reply = await self.transport.request(
-            address, self._watch_request(), HOLD_S + REPLY_S
+            address, self._poll_request(), LONG_POLL_S + REPLY_MARGIN_S
         )
         self.servers.learn(reply)
-        self._take_loads(reply.loads, address)
+        self._apply_loads(reply.loads, address)
         if reply.status != 'done':
             self.servers.not_in_touch(address, reply.leader, time.monotonic())
             return False
         if self.server != address:
             self.server = address
             node.log_decision('control found', peer=address)
-            self.seen.set()
+            self.load_changed.set()
         self._take(reply)
         return True
 
-    def _watch_request(self) -> messages.Watch:
+    def _poll_request(self) -> messages.Watch:
         ready = self.ready and self.me.ready
         return messages.Watch(
             attrs.evolve(self.me, ready=ready),
@@ -153,28 +157,28 @@
                 self.entries_version,
                 self.nodes_version,
             ),
-            HOLD_S,
-            self.loads_number,
+            LONG_POLL_S,
+            self.summary_number,
         )
 
     def _take(self, reply: messages.WatchReply) -> None:
         if reply.route_map is not None:
-            self._take_map(messages.unpack_map(reply.route_map))
-        self._take_list(reply)
+            self._apply_map(messages.unpack_map(reply.route_map))
+        self._apply_list(reply)
         if messages.is_newer(reply.entries_version, self.entries_version):
             self.entries_version = reply.entries_version
             self.entries = reply.entries or []
         if reply.nodes is not None:
             self.nodes_version = reply.nodes_version
         self.budget.entries = self.count()
-        for hook in self.changed:
+        for hook in self.on_change:
             hook()
 
-    def _take_list(self, reply: messages.WatchReply) -> None:
-        """Take the list, unless it is older than what this entry has.
+    def _apply_list(self, reply: messages.WatchReply) -> None:
+        """Apply the backend list unless it is older than the current one.
 
-        A control process that is out of touch with the leader would bring
-        back engines that have left.
+        A control process without contact to the leader could otherwise bring
+        back removed engines.
         """
         version = reply.backends_version
         read_at = time.monotonic() - reply.backends_age_s
@@ -184,20 +188,20 @@
             else read_at > self.backends_at
         ):
             self.backends_version = version
-            self._take_backends(reply.backends)
+            self._apply_backends(reply.backends)
         if version and version == self.backends_version:
             self.backends_at = max(self.backends_at, read_at)
 
-    def _take_loads(
+    def _apply_loads(
         self, summary: messages.LoadSummary | None, address: str
     ) -> None:
         now = time.monotonic()
         if summary is None:
             if address == self.server:
-                # Nothing has changed since the summary before.
+                # No summary means no change since the previous one.
                 self.placement.confirm_loads(now)
             return
-        self.loads_number = summary.number
+        self.summary_number = summary.number
         self.placement.apply_loads(summary, now)
         self.budget.apply_loads(summary.traffic, now)
         self.crashers.add_reports(summary.crashes, now)
@@ -207,29 +211,31 @@
         self.admission.apply_loads(waiting, now)
 
     async def share(self) -> None:
-        """Report what this entry has running, as it changes."""
+        """Report this entry's load forever, whenever it changes."""
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(SHARE_AGAIN_S):
-                    await self.seen.wait()
-            self.seen.clear()
+                async with asyncio.timeout(REPORT_REFRESH_S):
+                    await self.load_changed.wait()
+            self.load_changed.clear()
             if self.server:
                 await self._report(self._load_report(time.monotonic()))
-            await asyncio.sleep(SHARE_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
     async def _report(self, report: messages.LoadReport) -> None:
         if not report.urgent:
             self.transport.send(self.server, report)
             return
         try:
-            await self.transport.request(self.server, report, EVENTS_S)
+            await self.transport.request(
+                self.server, report, URGENT_REPORT_TIMEOUT_S
+            )
         except errors.PeerError as error:
             loguru.logger.bind(peer=self.server, error=str(error)).warning(
-                'events not acknowledged'
+                'load report not acknowledged'
             )
             self.placement.report_again(report)
             self.crashers.report_again(report.crashes)
-            self.seen.set()
+            self.load_changed.set()
 
     def _load_report(self, now: float) -> messages.LoadReport:
         self.crashers.settle(now)
@@ -242,55 +248,54 @@
             crashes=self.crashers.take_pending(),
         )
 
-    def _take_map(self, route_map: routes.RouteMap) -> None:
-        # Forward only: a reply that was overtaken on its way must not bring
-        # back what operators have replaced.
+    def _apply_map(self, route_map: routes.RouteMap) -> None:
+        # A delayed reply must not restore a replaced map.
         if route_map.version > self.map_version:
             self.index = routes.RouteIndex(route_map)
             self.placement.capacity = {
                 service.name: service.memory_tokens
                 for service in route_map.services
             }
-            self._look_whether_started()
-            node.log_decision('route map', version=route_map.version)
+            self._signal_if_ready()
+            node.log_decision('route map updated', version=route_map.version)
 
-    def _take_backends(self, backends: list[messages.ListedBackend]) -> None:
+    def _apply_backends(self, backends: list[messages.ListedBackend]) -> None:
         self.placement.update(backends)
-        self._look_whether_started()
+        self._signal_if_ready()
         node.log_decision(
-            'backends',
+            'backend list updated',
             version=self.backends_version,
             usable=sum(not b.leaving for b in backends),
             leaving=sum(b.leaving for b in backends),
         )
 
-    def _look_whether_started(self) -> None:
+    def _signal_if_ready(self) -> None:
         if self.ready:
-            self.started.set()
+            self.became_ready.set()
 
-    # Without control
+    # Fallback without control
 
     async def read_list_alone(self) -> None:
-        """Read the platform's list while control gives no news of it."""
-        pause = FIRST_LIST_S
+        """Read the platform's list whenever control's copy is too old."""
+        pause = FIRST_LIST_DELAY_S
         while True:
             await asyncio.sleep(pause * (0.75 + random.random() / 2))
             pause = max(1.0, self.count() / LIST_CALLS_PER_S)
-            if time.monotonic() - self.backends_at < LIST_STALE_S:
+            if time.monotonic() - self.backends_at < LIST_MAX_AGE_S:
                 continue
             with contextlib.suppress(TimeoutError, errors.PeerError):
                 async with asyncio.timeout(LIST_TIMEOUT_S):
-                    backends = await self.source.fetch()
+                    backends = await self.backend_list.fetch()
                 self.backends_version = ''
-                self._take_backends(backends)
+                self._apply_backends(backends)
 
-    # Where callers are to connect
+    # Directory for callers
 
-    def addresses(self, most: int) -> list[str]:
-        """Return addresses of ready entries, in a random order.
+    def addresses(self, limit: int) -> list[str]:
+        """Return addresses of ready entries in random order.
 
-        :param most: how many; others are drawn for the next caller, so
-            that all entries get their part.
+        :param limit: maximum number of addresses; a random subset balances
+            callers across entries.
         """
         ready = [entry.callers for entry in self.entries if entry.ready]
         if self.me.ready and self.ready and self.me.callers not in ready:
@@ -298,4 +303,4 @@
         elif not self.me.ready and self.me.callers in ready:
             ready.remove(self.me.callers)
         random.shuffle(ready)
-        return ready[:most]
+        return ready[:limit]
--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -1,4 +1,4 @@
-"""The events of one engine, on to the caller, until it is lost."""
+"""Relays the events of one engine to the caller until it fails."""
 
 import asyncio
 import contextlib
@@ -16,53 +16,54 @@
 if t.TYPE_CHECKING:
     from bulrushhold.forwarding import _streams
 
-# While a prompt is read, its engine is asked so often whether it lives.
+# Interval of liveness probes during prefill.
 FIRST_ASK_S: t.Final = 0.5
-# Pauses between events are learnt in batches: several times a second.
-LEARN_S: t.Final = 0.2
-# Standard deviations above the mean pause, within which pauses mostly and
-# nearly always are (the latter as in RFC 6298).
-COMMON: t.Final = 1.5
-USUAL: t.Final = 4.0
-# Engines drop a copy made by order when it hasn't grown for this long.
-COPY_KEPT_S: t.Final = 4.0
-# Renewed often enough to outlive one order that fails. What the run made since
-# the last one is read again.
-RENEW_S: t.Final = 1.5
-NO_SIGN_OF_LIFE: t.Final = 'silent, and gives no sign of life'
+# Pauses between events are reported in batches.
+PAUSE_REPORT_INTERVAL_S: t.Final = 0.2
+# Standard deviations above the mean that cover most pauses, and nearly all
+# of them (the latter as in RFC 6298).
+COMMON_DEVIATIONS: t.Final = 1.5
+USUAL_DEVIATIONS: t.Final = 4.0
+# Engines drop a requested copy that has not been renewed for this long.
+COPY_TTL_S: t.Final = 4.0
+# Short enough for a copy to survive one failed renewal. Tokens generated since
+# the last renewal have to be prefilled again after a failover.
+COPY_RENEWAL_S: t.Final = 1.5
+NO_PROBE_ANSWER: t.Final = 'stalled, and no answer to a liveness probe'
 
 
 @attrs.define(slots=False)
 class StreamLostError(errors.EngineLostError):
-    """An engine is lost to a stream, which may go on elsewhere.
+    """A stream lost its engine and may resume on another one.
 
     :param sent: the request may have reached the engine.
-    :param gone: it is dead or out of reach, not merely at fault.
-    :param reset: it broke the connection; dead engines do, and living ones
-        that are at fault.
-    :param seconds: since the stream was placed there.
-    :param last_before: number of the caller's last event at that time.
+    :param unreachable: the engine crashed or is unreachable; ``False`` if it
+        only returned an error.
+    :param reset: the engine broke the connection; so do live engines on
+        errors.
+    :param seconds: time since the stream was sent to the engine.
+    :param event_id_before: id of the caller's last event at that time.
     """
 
     sent: bool = True
-    gone: bool = True
+    unreachable: bool = True
     reset: bool = False
     seconds: float = 0.0
-    last_before: int | None = None
+    event_id_before: int | None = None
 
 
-def _close_answer(sending: 'asyncio.Future[calls.BackendAnswer]') -> None:
-    """Close what an abandoned sending brought, if anything.
+def _close_answer(send_task: 'asyncio.Future[calls.BackendAnswer]') -> None:
+    """Close the answer of a cancelled send, if there is one.
 
-    Without this the engine would go on with the run until the connection
-    is garbage collected.
+    Otherwise the engine would keep generating until the connection is
+    garbage-collected.
     """
-    if not sending.cancelled() and sending.exception() is None:
-        sending.result().close()
+    if not send_task.cancelled() and send_task.exception() is None:
+        send_task.result().close()
 
 
-class Flow:
-    """The events of one engine, on to the caller."""
+class EngineStream:
+    """One engine's part of a stream, relayed to the caller."""
 
     def __init__(
         self,
@@ -73,323 +74,348 @@
         reading: int,
     ) -> None:
         self.stream = run
-        self.parts = run.parts
+        self.context = run.context
         self.engine = engine
         self.copy = copy
         self.backup = backup
         self.reading = reading
         self.answer: calls.BackendAnswer | None = None
-        self.sending: asyncio.Future[calls.BackendAnswer] | None = None
-        self.spoke = False
+        self.send_task: asyncio.Future[calls.BackendAnswer] | None = None
+        self.received_event = False
         self.renewal: asyncio.Task[None] | None = None
-        self.speeds = run.parts.placement.speeds
-        self.begun = run.parts.clock()
-        self.unread: decisions.Reading | None = None
-        self.here_s = 0.0
-        self.learnt_at = self.shown_at = self.begun
-        self.patience = self._look_at_pauses()
-        self.pauses = decisions.Pauses(self.patience.usual_pause_s)
+        self.speeds = run.context.placement.speeds
+        self.started_at = run.context.clock()
+        self.read_sample: decisions.Reading | None = None
+        self.expected_first_s = 0.0
+        self.pauses_reported_at = self.last_event_at = self.started_at
+        self.stall_timeouts = self._make_stall_timeouts()
+        self.pauses = decisions.Pauses(self.stall_timeouts.usual_pause_s)
 
     async def run(self) -> calls.Reply | None:
         answer = await self._open()
         head = answer.head
-        _parts.learn(self.parts, self.engine.ident, head)
+        _parts.record_load(self.context, self.engine.ident, head)
         if head.not_run:
             if head.status == 421:
-                self.parts.placement.replaced(self.engine.ident)
+                self.context.placement.replaced(self.engine.ident)
             raise StreamLostError(
-                f'refused with {head.status}', sent=False, gone=False
+                f'refused with status {head.status}',
+                sent=False,
+                unreachable=False,
             )
         if not head.own or not head.genuine:
-            raise StreamLostError('a foreign answer', gone=False)
+            raise StreamLostError('mismatched answer', unreachable=False)
         if head.status >= 300:
-            return await self._failure(answer)
+            return await self._failure_reply(answer)
         await self._relay(answer)
-        now = self.parts.clock()
-        self.parts.placement.succeeded(self.engine.ident, now, None)
+        now = self.context.clock()
+        self.context.placement.succeeded(self.engine.ident, now, None)
         if self.copy is None and self.stream.job.call.after is None:
-            self.speeds.ran(self.stream.job.service, now - self.begun, now)
+            self.speeds.ran(
+                self.stream.job.service, now - self.started_at, now
+            )
         self.close()
         await self.drop_copy()
         return None
 
     def close(self) -> None:
-        """Leave the engine; it stops working on the stream."""
-        if self.unread is not None:
-            self.speeds.forget(self.unread)
-        if self.sending is not None:
-            self._abandon(self.sending)
+        """Close the connection, so that the engine stops generating."""
+        if self.read_sample is not None:
+            self.speeds.forget(self.read_sample)
+        if self.send_task is not None:
+            self._cancel_send(self.send_task)
         if self.renewal is not None:
             self.renewal.cancel()
 
-    def _abandon(self, sending: 'asyncio.Future[calls.BackendAnswer]') -> None:
-        if sending.done():
-            _close_answer(sending)
+    def _cancel_send(
+        self, send_task: 'asyncio.Future[calls.BackendAnswer]'
+    ) -> None:
+        if send_task.done():
+            _close_answer(send_task)
             return
-        sending.cancel()
-        sending.add_done_callback(_close_answer)
+        send_task.cancel()
+        send_task.add_done_callback(_close_answer)
 
     async def drop_copy(self) -> None:
-        """Free the copy that was ordered, once the stream is whole.
+        """Free the requested copy after the stream has completed.
 
-        Engines free it themselves, but only seconds later, and until then
-        the memory of a whole prompt is missing there.
+        Without this it would hold the memory of a whole prompt until its
+        expiry on the engine.
         """
         copy = self.stream.copy
         if copy is not None:
             self.stream.copy = None
-            await self.parts.client.drop_copy(copy, RENEW_S)
+            await self.context.client.drop_copy(copy, COPY_RENEWAL_S)
 
     async def _open(self) -> calls.BackendAnswer:
         attempt = calls.Attempt(
             self.engine.address,
             self.engine.ident,
             self.stream.job.account,
-            self.stream.left(),
-            after=self.stream.last,
+            self.stream.remaining_s(),
+            after=self.stream.last_event_id,
             backup=self.backup.address if self.backup else '',
             copy=self.copy,
-            # A kept connection that the engine closes meanwhile would look
-            # like a crash; a new one costs a ms of a stream of seconds.
+            # The engine may close an idle connection at any time, which would
+            # look like a crash.
             fresh=True,
         )
-        self.sending = asyncio.ensure_future(
-            self.parts.client.send(self.stream.job.call, attempt)
+        self.send_task = asyncio.ensure_future(
+            self.context.client.send(self.stream.job.call, attempt)
         )
-        self._expect_first()
-        silence = _liveness.Silence(self.parts.clock)
-        while not self.sending.done():
-            with silence.counted(FIRST_ASK_S):
-                await asyncio.wait({self.sending}, timeout=FIRST_ASK_S)
-            if self.sending.done():
+        self._expect_first_event()
+        silence = _liveness.SilenceTimer(self.context.clock)
+        while not self.send_task.done():
+            with silence.measure(FIRST_ASK_S):
+                await asyncio.wait({self.send_task}, timeout=FIRST_ASK_S)
+            if self.send_task.done():
                 break
-            self._check_first(silence)
-            alive = await self._is_alive(silence)
-            if not alive and not self.sending.done():
-                raise StreamLostError(NO_SIGN_OF_LIFE)
+            self._check_first_event(silence)
+            answered = await self._is_alive(silence)
+            if not answered and not self.send_task.done():
+                raise StreamLostError(NO_PROBE_ANSWER)
         try:
-            self.answer = self.sending.result()
+            self.answer = self.send_task.result()
         except errors.BackendError as error:
             sent = error.step != 'connect'
             raise StreamLostError(str(error), sent=sent, reset=sent) from error
         return self.answer
 
-    def _expect_first(self) -> None:
-        """Take down when the first event is expected."""
+    def _expect_first_event(self) -> None:
+        """Record when the first event is expected."""
         if not self.reading or self.stream.job.call.after is not None:
-            # What a caller comes back for may be in memory: no measure.
+            # A resumed prompt may be cached, which would distort the speed.
             return
-        now = self.parts.clock()
+        now = self.context.clock()
         tokens = self.engine.reading + self.engine.others.reading
         service = self.stream.job.service
-        self.unread = self.speeds.reads(
+        self.read_sample = self.speeds.reads(
             service, self.engine.ident, tokens, now
         )
         token_s = self.speeds.token_s(service, self.stream.wanted, now)
-        self.here_s = tokens * token_s
+        self.expected_first_s = tokens * token_s
 
-    def _check_first(self, silence: _liveness.Silence) -> None:
+    def _check_first_event(self, silence: _liveness.SilenceTimer) -> None:
         waited = silence.seconds
-        if self.stream.left() <= 0:
-            raise StreamLostError('no event in time', gone=False)
+        if self.stream.remaining_s() <= 0:
+            raise StreamLostError(
+                'no event before the deadline', unreachable=False
+            )
         elsewhere_s = self.stream.estimate_capacity(self.engine.ident).first_s
-        if waited > decisions.leave_unread_s(self.here_s, elsewhere_s):
-            raise StreamLostError(f'no event for {waited:.2f} s', gone=False)
+        if waited > decisions.leave_unread_s(
+            self.expected_first_s, elsewhere_s
+        ):
+            raise StreamLostError(
+                f'no first event after {waited:.2f} s', unreachable=False
+            )
 
-    async def _is_alive(self, silence: _liveness.Silence) -> bool:
-        with silence.counted(_liveness.ASKED_S):
+    async def _is_alive(self, silence: _liveness.SilenceTimer) -> bool:
+        with silence.measure(_liveness.PROBE_TIMEOUT_S):
             return await _liveness.is_alive(
-                self.parts.client, self.engine.address
+                self.context.client, self.engine.address
             )
 
-    async def _failure(self, answer: calls.BackendAnswer) -> calls.Reply:
+    async def _failure_reply(self, answer: calls.BackendAnswer) -> calls.Reply:
         try:
             body = await answer.body()
         except errors.BackendError as error:
-            raise StreamLostError(str(error), gone=False) from error
+            raise StreamLostError(str(error), unreachable=False) from error
         head = answer.head
         reply = calls.Reply(head.status, head.headers, body)
         if head.status < 500 or not self.stream.job.route.repeatable:
             return reply
-        self.stream.failed = reply
-        raise StreamLostError(f'failed with {head.status}', gone=False)
+        self.stream.failure_reply = reply
+        raise StreamLostError(
+            f'failed with status {head.status}', unreachable=False
+        )
 
     async def _relay(self, answer: calls.BackendAnswer) -> None:
         splitter = _events.EventSplitter()
         while True:
-            chunk = await self._chunk(answer)
+            chunk = await self._next_chunk(answer)
             if not chunk:
                 break
             try:
                 events = splitter.feed(chunk)
             except errors.BackendError as error:
-                raise StreamLostError(str(error), gone=False) from error
-            await self._show_next(answer, events)
-            self._look_after_copy()
+                raise StreamLostError(str(error), unreachable=False) from error
+            await self._forward_new_events(answer, events)
+            self._ensure_copy()
         if splitter.rest:
-            raise StreamLostError(
-                'ended in the middle of an event', gone=False
-            )
-        if not self.stream.out.begun:
-            await self.stream.out.begin(
+            raise StreamLostError('incomplete last event', unreachable=False)
+        if not self.stream.caller_stream.begun:
+            await self.stream.caller_stream.begin(
                 answer.head.status, answer.head.headers
             )
-        await self.stream.out.end()
+        await self.stream.caller_stream.end()
 
-    def _look_after_copy(self) -> None:
-        """Have a copy made where there is none, or none any more.
+    def _ensure_copy(self) -> None:
+        """Request a copy of the run's memory if no backup holds one.
 
-        Engines fail a data centre at a time: those that hold the copies go
-        first as often as those that run the streams, and a stream without a
-        copy would have its whole prompt read again.
+        Guards against a backup that fails before the engine of the stream:
+        without a new copy the whole prompt would be prefilled again.
         """
         if self.renewal is None and not self._has_copy():
             self.renewal = asyncio.ensure_future(self._renew_copy())
 
     def _has_copy(self) -> bool:
-        return self.backup is not None and self._is_kept(self.backup)
+        return self.backup is not None and self._may_hold_copy(self.backup)
 
-    def _is_kept(self, backup: decisions.Placed) -> bool:
+    def _may_hold_copy(self, backup: decisions.Placed) -> bool:
         since = self.stream.backup_since
-        return self.parts.placement.keeps_copy(backup, since)
+        return self.context.placement.keeps_copy(backup, since)
 
     async def _renew_copy(self) -> None:
         stream = self.stream
         while True:
             target = stream.choose_backup(self.engine)
             if target is None:
-                await asyncio.sleep(RENEW_S)
+                await asyncio.sleep(COPY_RENEWAL_S)
                 continue
-            self._keep_copy_at(target)
-            made_at = float('-inf')
-            while self._is_kept(target):
-                now = self.parts.clock()
+            self._set_backup(target)
+            copied_at = float('-inf')
+            while self._may_hold_copy(target):
+                now = self.context.clock()
                 try:
-                    stream.copy = await self.parts.client.copy_run(
+                    stream.copy = await self.context.client.copy_run(
                         stream.job.call,
                         self.engine.address,
                         target.address,
-                        RENEW_S,
+                        COPY_RENEWAL_S,
                     )
                 except errors.BackendError as error:
-                    # Mostly the run's own engine is being lost: the copy made
-                    # last is what its stream goes on from.
+                    # The engine itself may be failing: keep the last copy,
+                    # from which the stream can resume.
                     _parts.log(
                         stream.job, 'copy not renewed', reason=str(error)
                     )
-                    await asyncio.sleep(RENEW_S)
-                    if now - made_at > COPY_KEPT_S:
+                    await asyncio.sleep(COPY_RENEWAL_S)
+                    if now - copied_at > COPY_TTL_S:
                         break
                     continue
                 stream.backup = target
-                made_at = now
-                await asyncio.sleep(RENEW_S)
+                copied_at = now
+                await asyncio.sleep(COPY_RENEWAL_S)
 
-    def _keep_copy_at(self, target: decisions.Placed) -> None:
+    def _set_backup(self, target: decisions.Placed) -> None:
         stream = self.stream
         stream.backup = stream.copy = None
-        stream.backup_since = self.parts.clock()
+        stream.backup_since = self.context.clock()
         if self.backup is not None:
             self.backup.memory -= stream.memory
         target.memory += stream.memory
         self.backup = target
-        _parts.log(stream.job, 'copy renewed', at=target.ident)
+        _parts.log(stream.job, 'copy requested', at=target.ident)
 
-    async def _show_next(
+    async def _forward_new_events(
         self, answer: calls.BackendAnswer, events: list[_events.Event]
     ) -> None:
-        """Show the events that go on where the caller's stream stands."""
+        """Forward the events that directly follow the caller's last one."""
         data = b''
         gap = ''
         for event in events:
-            last = self.stream.last
-            if event.number is not None and last is not None:
-                if event.number <= last:
+            last = self.stream.last_event_id
+            if event.event_id is not None and last is not None:
+                if event.event_id <= last:
                     continue
-                if event.number != last + 1:
-                    gap = f'event {event.number} after {last}'
+                if event.event_id != last + 1:
+                    gap = f'missing events: {event.event_id} after {last}'
                     break
-            if event.number is not None:
-                self.stream.last = event.number
+            if event.event_id is not None:
+                self.stream.last_event_id = event.event_id
             data += event.data
         if data:
-            await self._show(answer, data)
+            await self._forward(answer, data)
         if gap:
-            raise StreamLostError(gap, gone=False)
-
-    async def _show(self, answer: calls.BackendAnswer, data: bytes) -> None:
-        now = self.parts.clock()
-        if self.spoke:
-            self.pauses.add(now - self.shown_at)
-            if now - self.learnt_at > LEARN_S:
-                self._learn_pauses(now)
-        self.shown_at = now
-        if not self.spoke:
-            self.spoke = True
-            if self.unread is not None:
-                self.speeds.read(self.unread, self.stream.wanted, now)
-            self.parts.placement.has_read(self.engine, self.reading)
+            raise StreamLostError(gap, unreachable=False)
+
+    async def _forward(self, answer: calls.BackendAnswer, data: bytes) -> None:
+        now = self.context.clock()
+        if self.received_event:
+            self.pauses.add(now - self.last_event_at)
+            if now - self.pauses_reported_at > PAUSE_REPORT_INTERVAL_S:
+                self._report_pauses(now)
+        self.last_event_at = now
+        if not self.received_event:
+            self.received_event = True
+            if self.read_sample is not None:
+                self.speeds.read(self.read_sample, self.stream.wanted, now)
+            self.context.placement.has_read(self.engine, self.reading)
             self.reading = 0
-            self.stream.took(self.engine.ident)
-            self.parts.placement.read(self.stream.part, self.engine.ident, now)
-        out = self.stream.out
-        if not out.begun:
-            await out.begin(answer.head.status, answer.head.headers)
-        self.stream.shows()
-        await out.write(data)
-
-    async def _chunk(self, answer: calls.BackendAnswer) -> bytes:
-        silence = _liveness.Silence(self.parts.clock)
+            self.stream.record_resumption(self.engine.ident)
+            self.context.placement.read(
+                self.stream.last_segment, self.engine.ident, now
+            )
+        caller_stream = self.stream.caller_stream
+        if not caller_stream.begun:
+            await caller_stream.begin(answer.head.status, answer.head.headers)
+        self.stream.record_event_sent()
+        await caller_stream.write(data)
+
+    async def _next_chunk(self, answer: calls.BackendAnswer) -> bytes:
+        silence = _liveness.SilenceTimer(self.context.clock)
         while True:
-            ask = self.patience.ask_after_s if self.spoke else FIRST_ASK_S
-            with contextlib.suppress(TimeoutError), silence.counted(ask):
-                async with asyncio.timeout(ask):
+            probe_after_s = (
+                self.stall_timeouts.ask_after_s
+                if self.received_event
+                else FIRST_ASK_S
+            )
+            with (
+                contextlib.suppress(TimeoutError),
+                silence.measure(probe_after_s),
+            ):
+                async with asyncio.timeout(probe_after_s):
                     return await self._read(answer)
-            if self.spoke:
-                self._check_silence(silence)
+            if self.received_event:
+                self._check_stall(silence)
             else:
-                self._check_first(silence)
+                self._check_first_event(silence)
             if not await self._is_alive(silence):
-                return await self._read_at_once(answer)
-
-    def _check_silence(self, silence: _liveness.Silence) -> None:
-        silent = silence.seconds
-        if silent > self._most_silent_s() or self.stream.left() <= 0:
-            raise StreamLostError(f'silent for {silent:.2f} s', gone=False)
+                return await self._read_buffered(answer)
+
+    def _check_stall(self, silence: _liveness.SilenceTimer) -> None:
+        stalled_s = silence.seconds
+        if (
+            stalled_s > self._stall_timeout_s()
+            or self.stream.remaining_s() <= 0
+        ):
+            raise StreamLostError(
+                f'stalled for {stalled_s:.2f} s', unreachable=False
+            )
 
-    async def _read_at_once(self, answer: calls.BackendAnswer) -> bytes:
-        """Return what came while the engine was asked for a sign of life."""
+    async def _read_buffered(self, answer: calls.BackendAnswer) -> bytes:
+        """Return what arrived during a failed probe, without waiting."""
         try:
             async with asyncio.timeout(0):
                 return await self._read(answer)
         except TimeoutError:
-            raise StreamLostError(NO_SIGN_OF_LIFE) from None
+            raise StreamLostError(NO_PROBE_ANSWER) from None
 
-    def _most_silent_s(self) -> float:
+    def _stall_timeout_s(self) -> float:
         if self._has_copy():
-            return self.patience.leave_with_copy_s()
+            return self.stall_timeouts.leave_with_copy_s()
         elsewhere_s = self.stream.estimate_capacity(self.engine.ident).first_s
-        return self.patience.leave_without_copy_s(elsewhere_s)
+        return self.stall_timeouts.leave_without_copy_s(elsewhere_s)
 
-    def _learn_pauses(self, now: float) -> None:
+    def _report_pauses(self, now: float) -> None:
         self.speeds.paused(self.stream.job.service, self.pauses, now)
-        self.learnt_at = now
-        self.patience = self._look_at_pauses()
-        self.pauses = decisions.Pauses(self.patience.usual_pause_s)
+        self.pauses_reported_at = now
+        self.stall_timeouts = self._make_stall_timeouts()
+        self.pauses = decisions.Pauses(self.stall_timeouts.usual_pause_s)
 
-    def _look_at_pauses(self) -> decisions.Patience:
+    def _make_stall_timeouts(self) -> decisions.Patience:
         wanted = self.stream.wanted
         common, usual = (
             self.speeds.pause_s(
                 self.stream.job.service,
                 wanted,
-                self.parts.clock(),
+                self.context.clock(),
                 deviations,
             )
-            for deviations in (COMMON, USUAL)
+            for deviations in (COMMON_DEVIATIONS, USUAL_DEVIATIONS)
         )
         return decisions.Patience(
-            common, usual, wanted.gap_s, _liveness.ASKED_S
+            common, usual, wanted.gap_s, _liveness.PROBE_TIMEOUT_S
         )
 
     async def _read(self, answer: calls.BackendAnswer) -> bytes:
--- a/src/bulrushhold/forwarding/_forwarder.py
+++ b/src/bulrushhold/forwarding/_forwarder.py
@@ -1,4 +1,4 @@
-"""Decides on each opaque request: who may send it, and where it goes."""
+"""Authorizes each opaque request and dispatches it to its service."""
 
 import asyncio
 import contextlib
@@ -15,68 +15,70 @@
 from bulrushhold import node
 from bulrushhold import routes
 
-# A process that has just started knows the route map within half a second.
+# A new process usually gets the route map within this time.
 START_RETRY_S: t.Final = 0.5
-# An election after a start of all takes 0.5 to 1 s. Of its time a request
-# may lose two fifths and still be served.
+# Covers a leader election after a cold start, but leaves each request most of
+# its own timeout.
 START_WAIT_S: t.Final = 1.5
 START_WAIT_SHARE: t.Final = 0.4
-# Other entries serve at once what this one refuses as it leaves.
-ELSEWHERE_RETRY_S: t.Final = 0.05
-# Nearly all streams take less than this many times the mean.
-LONG_RUN: t.Final = 1.4
+# Other entries accept immediately what a draining entry refuses.
+DRAIN_RETRY_S: t.Final = 0.05
+# Covers nearly all streams, as a multiple of the mean duration.
+LONG_RUN_FACTOR: t.Final = 1.4
 
 
 class Forwarder:
-    """The way of every opaque request through this entry."""
+    """Handles all opaque requests of this entry."""
 
-    def __init__(self, fleet: _fleet.Fleet, parts: _parts.Parts) -> None:
+    def __init__(self, fleet: _fleet.Fleet, context: _parts.Parts) -> None:
         self.fleet = fleet
-        self.parts = parts
+        self.context = context
         self.closing = False
         self.ends_at = float('inf')
 
     async def handle(
-        self, call: calls.Call, out: calls.CallerStream
+        self, call: calls.Call, caller_stream: calls.CallerStream
     ) -> calls.Reply | None:
-        """Serve one request; ``None`` where the answer went to ``out``.
+        """Serve one request; ``None`` if the answer was streamed.
 
-        :raises RequestError: the honest refusal.
+        :raises RequestError: if the request is refused or fails; its ``ran``
+            tells whether it may have run.
         """
-        begun = self.parts.clock()
+        started = self.context.clock()
         try:
             if self.fleet.index is None:
                 await self._wait_for_start(call)
-            job = self._accept(call, begun)
+            job = self._accept(call, started)
             if job.route.kind is routes.Kind.STREAM:
-                reply = await _streams.StreamRun(self.parts, job, out).run()
+                reply = await _streams.StreamRun(
+                    self.context, job, caller_stream
+                ).run()
             else:
-                reply = await _plain.PlainRun(self.parts, job).run()
+                reply = await _plain.PlainRun(self.context, job).run()
         except errors.RequestError as error:
-            self.parts.metrics.count(f'requests.refused.{error.status}')
+            self.context.metrics.count(f'requests.refused.{error.status}')
             _log_refusal(call, error, self.fleet.map_version)
             raise
-        self.parts.metrics.count('requests.answered')
-        self.parts.metrics.time('requests', self.parts.clock() - begun)
+        self.context.metrics.count('requests.answered')
+        self.context.metrics.time('requests', self.context.clock() - started)
         return reply
 
     async def _wait_for_start(self, call: calls.Call) -> None:
-        """Give a process that has just started the time to learn its map.
+        """Wait a limited time for the first route map.
 
-        After a loss of power all entries start together, and the map is
-        there within a second or so. A refusal would use up the one time
-        that many callers come back.
+        After a cold start all entries lack the map, so that a refusal would
+        only use up the caller's retries.
         """
         wait = min(START_WAIT_S, call.wait_s * START_WAIT_SHARE)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait):
-                await self.fleet.started.wait()
+                await self.fleet.became_ready.wait()
 
     def _accept(self, call: calls.Call, now: float) -> _parts.Job:
         index = self.fleet.index
         if index is None or self.closing:
             raise errors.RequestError(
-                'leaving' if self.closing else 'no route map yet',
+                'shutting down' if self.closing else 'no route map yet',
                 'accept',
                 status=503,
                 retry_after=START_RETRY_S,
@@ -85,41 +87,40 @@
         route = index.find(call.host, path)
         if route is None:
             raise errors.RequestError('no such route', 'accept', status=404)
-        account = _account(index, route, call)
+        account = _authenticate(index, route, call)
         service = index.target(route, random.random())
         if route.kind is routes.Kind.STREAM:
-            self._refuse_what_would_be_cut(service, route, now)
+            self._refuse_unfinishable(service, route, now)
         fingerprint = decisions.fingerprint(path, call.key, call.body)
-        self._refuse_crasher(fingerprint, service, now)
-        self.parts.budget.first(service, now)
-        end = now + min(call.wait_s, route.timeout_s)
-        return _parts.Job(call, route, service, account, end, fingerprint)
+        self._refuse_poison_request(fingerprint, service, now)
+        self.context.budget.first(service, now)
+        deadline = now + min(call.wait_s, route.timeout_s)
+        return _parts.Job(call, route, service, account, deadline, fingerprint)
 
-    def _refuse_what_would_be_cut(
+    def _refuse_unfinishable(
         self, service: str, route: routes.Route, now: float
     ) -> None:
-        """Send a stream's caller elsewhere while this entry is leaving.
+        """Refuse a stream that would outlast this draining entry.
 
-        Callers learn late that it leaves. A stream that is taken now would be
-        cut in the middle as the process ends; refused at once, its caller is
-        served by another entry, in time.
+        Callers notice the shutdown late. An immediate refusal lets them retry
+        at another entry instead of losing the stream midway.
         """
-        run_s = self.parts.placement.speeds.run_s(service, now)
-        if now + LONG_RUN * (run_s or route.aim_s) > self.ends_at:
+        run_s = self.context.placement.speeds.run_s(service, now)
+        if now + LONG_RUN_FACTOR * (run_s or route.aim_s) > self.ends_at:
             raise errors.RequestError(
-                'leaving, and streams take longer than that',
+                'shutting down before the stream could complete',
                 'accept',
                 status=503,
-                retry_after=ELSEWHERE_RETRY_S,
+                retry_after=DRAIN_RETRY_S,
             )
 
-    def _refuse_crasher(
+    def _refuse_poison_request(
         self, fingerprint: str, service: str, now: float
     ) -> None:
-        seconds = self.parts.crashers.refused_for(fingerprint, now)
+        seconds = self.context.crashers.refused_for(fingerprint, now)
         if seconds:
             raise errors.RequestError(
-                'engines died under this request',
+                'engines crashed repeatedly on this request',
                 'accept',
                 service,
                 status=503,
@@ -127,7 +128,7 @@
             )
 
 
-def _account(
+def _authenticate(
     index: routes.RouteIndex, route: routes.Route, call: calls.Call
 ) -> str:
     account = index.accounts.get(call.key)
--- a/src/bulrushhold/forwarding/_parts.py
+++ b/src/bulrushhold/forwarding/_parts.py
@@ -1,4 +1,4 @@
-"""What every run of an opaque request uses."""
+"""Shared state and helpers of all opaque requests."""
 
 import collections.abc as cabc
 import time
@@ -13,15 +13,12 @@
 from bulrushhold import ports
 from bulrushhold import routes
 
-# After this time a caller may come back: a server that crashed is back, or
-# has been taken off the list, within a few seconds; engines work off a full
-# queue at some requests a second.
 RETRY_AFTER_S: t.Final = 0.5
 
 
 @attrs.frozen
 class Parts:
-    """Parts shared by all runs of one entry."""
+    """Objects shared by all requests of one entry."""
 
     placement: decisions.Placement
     client: calls.BackendClient
@@ -34,31 +31,31 @@
 
 @attrs.frozen
 class Job:
-    """One accepted request and where it is to go.
+    """An accepted request with its route and target service.
 
-    :param end: when its time is over, by the parts' clock.
-    :param fingerprint: the same for all repetitions of the request.
+    :param deadline: when the caller gives up, by the context's clock.
+    :param fingerprint: identical for all repetitions of the request.
     """
 
     call: calls.Call
     route: routes.Route
     service: str
     account: str
-    end: float
+    deadline: float
     fingerprint: str = ''
 
 
 def log(job: Job, decision: str, **fields: t.Any) -> None:
-    """Log one decision on a request."""
+    """Log a decision about a request."""
     node.log_decision(
         decision, request=job.call.ident, route=job.route.name, **fields
     )
 
 
-def refuse(
+def not_run_error(
     job: Job, reason: str, retry_after_s: float = RETRY_AFTER_S
 ) -> errors.RequestError:
-    """Return the refusal of a request that ran nowhere."""
+    """Return the error for a request that did not run anywhere."""
     return errors.RequestError(
         reason,
         'forward',
@@ -69,22 +66,22 @@
     )
 
 
-def give_up(
-    job: Job, reason: str, peer: str, *, late: bool = False
+def unknown_outcome_error(
+    job: Job, reason: str, peer: str, *, timed_out: bool = False
 ) -> errors.RequestError:
-    """Return the failure of a request that may have run."""
+    """Return the error for a request that may have run."""
     return errors.RequestError(
         reason,
         'forward',
         peer,
         ran=errors.Ran.UNKNOWN,
-        status=504 if late else 502,
+        status=504 if timed_out else 502,
     )
 
 
-def learn(parts: Parts, ident: str, head: calls.AnswerHead) -> None:
-    """Take what an answer tells of its server's load."""
+def record_load(context: Parts, ident: str, head: calls.AnswerHead) -> None:
+    """Record the server load that an answer reports."""
     if head.load is not None:
-        parts.placement.reported(
-            ident, head.load.running, head.load.waiting, parts.clock()
+        context.placement.reported(
+            ident, head.load.running, head.load.waiting, context.clock()
         )
--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -1,4 +1,4 @@
-"""Runs a plain request: one answer, whole or not at all."""
+"""Forwards a plain request, which has a single complete answer."""
 
 import asyncio
 import contextlib
@@ -11,21 +11,21 @@
 from bulrushhold import errors
 from bulrushhold.forwarding import _parts
 
-# An idempotent request that waits this many times the mean is taken to
-# another server: at 6 a server's own slow answers, one in a hundred, pass.
-PATIENCE: t.Final = 6.0
-LEAST_PATIENCE_S: t.Final = 0.12
-# All servers are full or away: a place is free again within one request.
-PAUSE_S: t.Final = 0.04
-# Below this much time left a server can't answer any more.
-LEAST_LEFT_S: t.Final = 0.01
+# An idempotent request is sent to another server after this multiple of the
+# mean latency; slow answers of a healthy server stay below it.
+STALL_FACTOR: t.Final = 6.0
+MIN_STALL_TIMEOUT_S: t.Final = 0.12
+# Delay before a second round, after all servers have been tried.
+RETRY_PAUSE_S: t.Final = 0.04
+# No server can answer within less than this.
+MIN_REMAINING_S: t.Final = 0.01
 
 
 @attrs.frozen
 class _Result:
-    """What one attempt came to.
+    """The result of one attempt.
 
-    :param reply: the server's own answer, if any.
+    :param reply: the server's answer, if any.
     :param ran: whether the server may have run the request.
     """
 
@@ -35,10 +35,10 @@
 
 
 class PlainRun:
-    """One request's way through one or more backend servers."""
+    """One plain request, with retries at other backend servers."""
 
-    def __init__(self, parts: _parts.Parts, job: _parts.Job) -> None:
-        self.parts = parts
+    def __init__(self, context: _parts.Parts, job: _parts.Job) -> None:
+        self.context = context
         self.job = job
         self.tried: set[str] = set()
         self.attempts = 0
@@ -47,7 +47,8 @@
     async def run(self) -> calls.Reply:
         """Return the answer.
 
-        :raises RequestError: with what is certain of the request.
+        :raises RequestError: if no server answered; its ``ran`` tells
+            whether the request may have run.
         """
         last: _Result | None = None
         while True:
@@ -59,55 +60,61 @@
             last = await self._attempt(backend)
             if last.reply is not None and last.reply.status < 500:
                 return last.reply
-            done = last.ran is not errors.Ran.NO and not self.repeatable
-            if done or not await self._may_repeat(last):
+            must_not_repeat = (
+                last.ran is not errors.Ran.NO and not self.repeatable
+            )
+            if must_not_repeat or not await self._may_retry(last):
                 if last.reply is not None:
                     return last.reply
                 raise self._failure(last, backend.ident)
 
-    def _left(self) -> float:
-        return self.job.end - self.parts.clock()
+    def _remaining_s(self) -> float:
+        return self.job.deadline - self.context.clock()
 
     def _choose(self) -> decisions.Placed | None:
-        if self._left() < LEAST_LEFT_S:
+        if self._remaining_s() < MIN_REMAINING_S:
             return None
-        return self.parts.placement.choose(
+        return self.context.placement.choose(
             self.job.service,
-            self.parts.clock(),
+            self.context.clock(),
             once=not self.repeatable,
             tried=self.tried,
         )
 
-    async def _may_repeat(self, last: _Result) -> bool:
+    async def _may_retry(self, last: _Result) -> bool:
         if last.ran is not errors.Ran.NO:
             self.attempts += 1
         if self.attempts >= self.job.route.max_attempts:
             return False
-        usable = self.parts.placement.usable(self.job.service)
+        usable = self.context.placement.usable(self.job.service)
         if all(b.ident in self.tried for b in usable):
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
             self.tried.clear()
-        if self._left() < LEAST_LEFT_S:
+        if self._remaining_s() < MIN_REMAINING_S:
             return False
-        if self.parts.budget.take(self.job.service, self.parts.clock()):
+        if self.context.budget.take(self.job.service, self.context.clock()):
             return True
-        self.parts.metrics.count('repeats.refused')
-        _parts.log(self.job, 'repeat budget spent')
+        self.context.metrics.count('repeats.refused')
+        _parts.log(self.job, 'retry budget exhausted')
         return False
 
     def _failure(
         self, last: _Result | None, ident: str
     ) -> errors.RequestError:
         if last is None:
-            return _parts.refuse(self.job, 'no backend server is there')
+            return _parts.not_run_error(
+                self.job, 'no backend server available'
+            )
         if last.ran is errors.Ran.NO and not self.attempts:
-            return _parts.refuse(self.job, last.reason)
-        late = self._left() < LEAST_LEFT_S
-        return _parts.give_up(self.job, last.reason, ident, late=late)
+            return _parts.not_run_error(self.job, last.reason)
+        timed_out = self._remaining_s() < MIN_REMAINING_S
+        return _parts.unknown_outcome_error(
+            self.job, last.reason, ident, timed_out=timed_out
+        )
 
     async def _attempt(self, backend: decisions.Placed) -> _Result:
         self.tried.add(backend.ident)
-        begun = self.parts.clock()
+        started = self.context.clock()
         backend.inflight += 1
         task = asyncio.ensure_future(self._exchange(backend))
         try:
@@ -116,30 +123,34 @@
             backend.inflight -= 1
             if not task.done():
                 task.cancel()
-                # The connection has to be closed before another server gets
-                # the request, or both work on it.
+                # Close the connection first, so that two servers never run
+                # the request at once.
                 with contextlib.suppress(asyncio.CancelledError):
                     await task
-        self._judge(backend, result, self.parts.clock() - begun)
+        self._record_result(backend, result, self.context.clock() - started)
         return result
 
     async def _wait(
         self, task: 'asyncio.Future[_Result]', backend: decisions.Placed
     ) -> _Result:
-        if self.repeatable and self._another_allowed():
-            usual = backend.latency or self.job.route.aim_s / 2
-            patience = max(LEAST_PATIENCE_S, PATIENCE * usual)
-            await asyncio.wait({task}, timeout=min(patience, self._left() / 2))
+        if self.repeatable and self._can_switch():
+            expected_s = backend.latency or self.job.route.aim_s / 2
+            stall_timeout_s = max(
+                MIN_STALL_TIMEOUT_S, STALL_FACTOR * expected_s
+            )
+            await asyncio.wait(
+                {task}, timeout=min(stall_timeout_s, self._remaining_s() / 2)
+            )
             if not task.done():
-                return _Result(errors.Ran.UNKNOWN, 'no answer yet')
-        await asyncio.wait({task}, timeout=max(0.0, self._left()))
+                return _Result(errors.Ran.UNKNOWN, 'stall timeout')
+        await asyncio.wait({task}, timeout=max(0.0, self._remaining_s()))
         if task.done():
             return task.result()
-        return _Result(errors.Ran.UNKNOWN, 'no answer in time')
+        return _Result(errors.Ran.UNKNOWN, 'no answer before the deadline')
 
-    def _another_allowed(self) -> bool:
-        """Whether leaving a slow server leads anywhere."""
-        others = self.parts.placement.usable(self.job.service)
+    def _can_switch(self) -> bool:
+        """Whether another attempt at a healthy server is possible."""
+        others = self.context.placement.usable(self.job.service)
         return self.attempts + 1 < self.job.route.max_attempts and any(
             b.ident not in self.tried and b.suspect_until == 0 for b in others
         )
@@ -149,24 +160,26 @@
             backend.address,
             backend.ident,
             self.job.account,
-            self._left(),
+            self._remaining_s(),
             fresh=not self.repeatable,
         )
         answer = None
         try:
-            answer = await self.parts.client.send(self.job.call, attempt)
+            answer = await self.context.client.send(self.job.call, attempt)
             head = answer.head
-            _parts.learn(self.parts, backend.ident, head)
+            _parts.record_load(self.context, backend.ident, head)
             if head.not_run:
                 if head.status == 421:
-                    self.parts.placement.replaced(backend.ident)
-                return _Result(errors.Ran.NO, f'refused with {head.status}')
+                    self.context.placement.replaced(backend.ident)
+                return _Result(
+                    errors.Ran.NO, f'refused with status {head.status}'
+                )
             if not head.own or not head.genuine:
-                return _Result(errors.Ran.UNKNOWN, 'a foreign answer')
+                return _Result(errors.Ran.UNKNOWN, 'mismatched answer')
             body = await answer.body()
             return _Result(
                 errors.Ran.YES,
-                f'failed with {head.status}',
+                f'failed with status {head.status}',
                 calls.Reply(head.status, head.headers, body),
             )
         except errors.BackendError as error:
@@ -177,20 +190,20 @@
             if answer is not None:
                 answer.close()
 
-    def _judge(
+    def _record_result(
         self, backend: decisions.Placed, result: _Result, seconds: float
     ) -> None:
-        now = self.parts.clock()
-        good = result.reply is not None and result.reply.status < 500
-        if good:
-            self.parts.placement.succeeded(backend.ident, now, seconds)
+        now = self.context.clock()
+        succeeded = result.reply is not None and result.reply.status < 500
+        if succeeded:
+            self.context.placement.succeeded(backend.ident, now, seconds)
             return
         unreachable = (
             result.ran is errors.Ran.NO
             and 'connect' in (result.reason.split(' ', 1)[0])
         )
-        self.parts.placement.failed(backend.ident, now, gone=unreachable)
-        self.parts.metrics.count('attempts.failed')
+        self.context.placement.failed(backend.ident, now, gone=unreachable)
+        self.context.metrics.count('attempts.failed')
         _parts.log(
             self.job,
             'attempt failed',
--- a/src/bulrushhold/forwarding/_prompts.py
+++ b/src/bulrushhold/forwarding/_prompts.py
@@ -1,4 +1,4 @@
-"""Finds the engine that has read the prompt of a caller that comes back."""
+"""Finds the engine that has a resuming caller's prompt cached."""
 
 import asyncio
 import typing as t
@@ -6,45 +6,50 @@
 from bulrushhold import errors
 from bulrushhold.forwarding import _parts
 
-# Engines tell what they keep within ms.
-LOOK_S: t.Final = 0.1
+LOOKUP_TIMEOUT_S: t.Final = 0.1
 
 
-async def find_prompt(parts: _parts.Parts, job: _parts.Job, part: str) -> bool:
-    """Ask engines for a prompt, and whether one of them has it.
+async def find_cached_prompt(
+    context: _parts.Parts, job: _parts.Job, segment: str
+) -> bool:
+    """Return whether an engine has a prompt cached, and record which.
 
-    The caller's entry was lost, perhaps all entries, and with them who knew
-    which engine has read the prompt. Reading it again would take the caller's
-    time, and that of all who wait behind it.
+    After the loss of an entry the others don't know where its prompts are
+    cached. A lookup saves prefilling such a prompt again.
 
-    :param part: the prompt's last one.
+    :param segment: name of the prompt's last segment.
     """
-    keepers = parts.placement.likely_keepers(job.service, part, parts.clock())
+    candidates = context.placement.likely_keepers(
+        job.service, segment, context.clock()
+    )
     answers = await asyncio.gather(
         *(
-            parts.client.parts_kept(keeper.address, LOOK_S)
-            for keeper in keepers
+            context.client.parts_kept(candidate.address, LOOKUP_TIMEOUT_S)
+            for candidate in candidates
         ),
         return_exceptions=True,
     )
     holders = []
-    for keeper, kept in zip(keepers, answers, strict=True):
-        if isinstance(kept, errors.BackendError):
+    for candidate, segments in zip(candidates, answers, strict=True):
+        if isinstance(segments, errors.BackendError):
             _parts.log(
-                job, 'parts not told', engine=keeper.ident, reason=str(kept)
+                job,
+                'cached segments unknown',
+                engine=candidate.ident,
+                reason=str(segments),
             )
-        elif isinstance(kept, BaseException):
-            raise kept
-        elif part in kept:
-            holders.append(keeper)
+        elif isinstance(segments, BaseException):
+            raise segments
+        elif segment in segments:
+            holders.append(candidate)
     _parts.log(
         job,
-        'prompt looked for',
-        asked=len(keepers),
+        'prompt cache lookup',
+        asked=len(candidates),
         found=[holder.ident for holder in holders],
     )
     if not holders:
         return False
     best = min(holders, key=lambda h: h.reading + h.others.reading)
-    parts.placement.read(part, best.ident, parts.clock())
+    context.placement.read(segment, best.ident, context.clock())
     return True
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -1,4 +1,4 @@
-"""Runs a stream of events, across the losses of engines."""
+"""Forwards a stream of events and resumes it after engine failures."""
 
 import asyncio
 import typing as t
@@ -12,241 +12,255 @@
 from bulrushhold.forwarding import _parts
 from bulrushhold.forwarding import _prompts
 
-# An engine sends its run's memory to the backup several times a second.
+# A run that failed earlier has no copy at the backup yet.
 COPY_AFTER_S: t.Final = 0.3
-# All engines are full or away: places come free several times a second.
-PAUSE_S: t.Final = 0.05
-LEAST_LEFT_S: t.Final = 0.05
-# A prompt larger than any engine's memory is served only once operators have
-# put up larger ones; callers leave long before.
+# Delay before a second round, after all engines have been tried.
+RETRY_PAUSE_S: t.Final = 0.05
+MIN_REMAINING_S: t.Final = 0.05
+# Only larger engines could serve a prompt that exceeds the memory of all.
 TOO_LARGE_RETRY_S: t.Final = 60.0
 
 
 class StreamRun:
-    """One stream's way through one or more engines.
+    """One stream, on one engine after another.
 
-    :param out: towards the caller.
+    :param caller_stream: the answer to the caller.
     """
 
     def __init__(
-        self, parts: _parts.Parts, job: _parts.Job, out: calls.CallerStream
+        self,
+        context: _parts.Parts,
+        job: _parts.Job,
+        caller_stream: calls.CallerStream,
     ) -> None:
-        self.parts = parts
+        self.context = context
         self.job = job
-        self.out = out
-        self.last = job.call.after
+        self.caller_stream = caller_stream
+        self.last_event_id = job.call.after
         self.tried: set[str] = set()
-        self.runs = 0
+        self.lost_runs = 0
         self.backup: decisions.Placed | None = None
         self.backup_since = 0.0
         self.copy: calls.RunCopy | None = None
-        # Only a part of the answer is written by the time most streams are
-        # lost, so that it counts by half.
+        # Streams that fail have generated about half of their answer.
         prompt = job.call.prompt
         self.memory = (
             prompt.tokens + prompt.output_tokens // 2 if prompt else 0
         )
         self.lost_data_centre = ''
-        self.lost_at: float | None = None
-        self.begun_at = parts.clock()
+        self.interrupted_at: float | None = None
+        self.started_at = context.clock()
         self.first_s: float | None = None
-        self.shown_at = 0.0
+        self.last_event_at = 0.0
         self.longest_pause_s = 0.0
-        self.failed: calls.Reply | None = None
+        self.failure_reply: calls.Reply | None = None
         self.tokens = job.call.prompt.tokens if job.call.prompt else 0
         self.wanted = decisions.Wanted(
             self.tokens,
             job.route.aim_s or job.route.timeout_s,
             job.route.gap_s or job.route.aim_s or job.route.timeout_s,
         )
-        parts_ = job.call.prompt.parts if job.call.prompt else ()
-        self.part = parts_[-1] if parts_ else ''
+        segments = job.call.prompt.parts if job.call.prompt else ()
+        self.last_segment = segments[-1] if segments else ''
 
     async def run(self) -> calls.Reply | None:
-        """Return a reply, or ``None`` where the stream went out.
+        """Return a reply, or ``None`` if the answer was streamed.
 
-        :raises RequestError: where nothing has gone out yet.
+        :raises RequestError: if the stream fails before its first event.
         """
         try:
             return await self._run()
         except (asyncio.CancelledError, ConnectionError):
-            # Without a line of its own a stream that nobody waits for any
-            # more couldn't be told from one that was lost.
-            left = not self.out.connected
+            # Logged to tell a cancelled stream from one that was lost.
+            disconnected = not self.caller_stream.connected
             self._log_end(
-                'stream left', reason='caller left' if left else 'entry ends'
+                'stream cancelled',
+                reason='caller disconnected'
+                if disconnected
+                else 'entry shutting down',
             )
             raise
 
     async def _run(self) -> calls.Reply | None:
-        reason, peer = 'no engine is there', ''
-        await self._enter()
+        reason, peer = 'no engine available', ''
+        await self._wait_for_first_engine()
         while True:
             engine, copy = await self._choose()
             if engine is None:
-                return self._end_early(reason, peer)
-            begun, last = self.parts.clock(), self.last
+                return self._end_incomplete(reason, peer)
+            started, last = self.context.clock(), self.last_event_id
             try:
                 reply = await self._attempt(engine, copy)
             except _flow.StreamLostError as lost:
                 reason, peer = str(lost), engine.ident
-                lost.seconds = self.parts.clock() - begun
-                lost.last_before = last
-                await self._look_whether_gone(engine, lost)
-                self._learn_loss(engine, lost)
-                if not await self._may_repeat(lost):
-                    return self._end_early(reason, peer)
+                lost.seconds = self.context.clock() - started
+                lost.event_id_before = last
+                await self._check_reachable(engine, lost)
+                self._record_loss(engine, lost)
+                if not await self._may_retry(lost):
+                    return self._end_incomplete(reason, peer)
             else:
                 if reply is None:
-                    self.parts.crashers.served(self.job.fingerprint)
-                self._log_end('stream whole' if reply is None else 'failed')
+                    self.context.crashers.served(self.job.fingerprint)
+                self._log_end(
+                    'stream whole' if reply is None else 'stream failed'
+                )
                 return reply
 
-    async def _wait_for_admission(self) -> _admission.Admission:
-        begun = self.last is not None
+    async def _wait_for_admission(self) -> _admission.AdmissionResult:
+        begun = self.last_event_id is not None
         return await _admission.wait_for_admission(
-            self.parts,
+            self.context,
             self.job,
             self.estimate_capacity,
-            since=self.parts.clock() if begun else self.begun_at,
+            waiting_since=self.context.clock() if begun else self.started_at,
             begun=begun,
         )
 
-    async def _enter(self) -> None:
-        """Wait until an engine can take the stream for the first time.
+    async def _wait_for_first_engine(self) -> None:
+        """Wait until the first engine can take the stream.
 
-        :raises RequestError: where that would take too long.
+        :raises RequestError: if admission control rejects the stream.
         """
-        if not self.parts.placement.can_hold(self.job.service, self.tokens):
+        if not self.context.placement.can_hold(self.job.service, self.tokens):
             raise self._refuse(
-                f'no engine holds {self.tokens} tokens', TOO_LARGE_RETRY_S
+                f'prompt of {self.tokens} tokens exceeds engine memory',
+                TOO_LARGE_RETRY_S,
             )
-        returns = self.job.call.after is not None
-        if returns and await _prompts.find_prompt(
-            self.parts, self.job, self.part
+        resumes = self.job.call.after is not None
+        if resumes and await _prompts.find_cached_prompt(
+            self.context, self.job, self.last_segment
         ):
-            # Nothing is to be read that others would have to wait for.
+            # A cached prompt needs no prefill and delays nobody.
             return
         admission = await self._wait_for_admission()
-        if not admission.comes:
-            self.parts.metrics.count('streams.refused_full')
-            raise self._refuse('engines are full', admission.retry_after_s)
+        if not admission.admitted:
+            self.context.metrics.count('streams.refused_full')
+            raise self._refuse('engines at capacity', admission.retry_after_s)
 
     def _refuse(
         self, reason: str, retry_after_s: float
     ) -> errors.RequestError:
         self._log_end('stream refused', reason=reason)
-        return _parts.refuse(self.job, reason, retry_after_s)
+        return _parts.not_run_error(self.job, reason, retry_after_s)
 
     def estimate_capacity(self, but: str = '') -> decisions.CapacityEstimate:
-        """Return what engines could do for this stream's prompt.
+        """Estimate how soon engines could serve this stream's prompt.
 
-        :param but: engine that the others are to be compared with.
+        :param but: engine to leave out of the estimate.
         """
-        return self.parts.placement.estimate_capacity(
+        return self.context.placement.estimate_capacity(
             self.job.service,
-            self.parts.clock(),
+            self.context.clock(),
             wanted=self.wanted,
             memory=self.memory,
             but=but,
         )
 
-    def left(self) -> float:
-        return self.job.end - self.parts.clock()
+    def remaining_s(self) -> float:
+        return self.job.deadline - self.context.clock()
 
     async def _choose(
         self,
     ) -> tuple[decisions.Placed | None, calls.RunCopy | None]:
-        """Return the engine to go to, and the copy that it goes on from."""
-        if self.left() < LEAST_LEFT_S:
+        """Return the next engine, and the copy from which it resumes."""
+        if self.remaining_s() < MIN_REMAINING_S:
             return None, None
         backup, copy = self.backup, self.copy
         self.backup = self.copy = None
-        now = self.parts.clock()
+        now = self.context.clock()
         if (
             backup is not None
             and backup.suspect_until <= now
-            and self.parts.placement.keeps_copy(backup, self.backup_since)
+            and self.context.placement.keeps_copy(backup, self.backup_since)
         ):
             return backup, copy or calls.RunCopy(backup.address)
-        if self.runs and not (await self._wait_for_admission()).comes:
+        if self.lost_runs and not (await self._wait_for_admission()).admitted:
             return None, None
-        now = self.parts.clock()
-        engine = self.parts.placement.choose_engine(
+        now = self.context.clock()
+        engine = self.context.placement.choose_engine(
             self.job.service,
             now,
             tokens=self.tokens,
-            part=self.part,
+            part=self.last_segment,
             tried=self.tried,
             avoid_data_centre=self.lost_data_centre,
         )
         return engine, None
 
-    async def _may_repeat(self, lost: _flow.StreamLostError) -> bool:
-        begun = lost.gone or lost.reset or self.last != lost.last_before
-        if not (lost.sent and begun) or lost.seconds < COPY_AFTER_S:
-            # Nothing can lie at the backup yet; asking would cost a refusal.
+    async def _may_retry(self, lost: _flow.StreamLostError) -> bool:
+        run_started = (
+            lost.unreachable
+            or lost.reset
+            or self.last_event_id != lost.event_id_before
+        )
+        if not (lost.sent and run_started) or lost.seconds < COPY_AFTER_S:
+            # The backup has no copy yet and would refuse the stream.
             self.backup = self.copy = None
         if lost.sent:
-            self.runs += 1
+            self.lost_runs += 1
             if not self.job.route.repeatable:
                 return False
-        if self.runs >= self.job.route.max_attempts:
+        if self.lost_runs >= self.job.route.max_attempts:
             return False
-        usable = self.parts.placement.usable(self.job.service)
+        usable = self.context.placement.usable(self.job.service)
         if all(b.ident in self.tried for b in usable):
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
             self.tried.clear()
-        if self.left() < LEAST_LEFT_S:
+        if self.remaining_s() < MIN_REMAINING_S:
             return False
-        if self.parts.budget.take(
+        if self.context.budget.take(
             self.job.service,
-            self.parts.clock(),
-            begun=self.out.begun,
+            self.context.clock(),
+            begun=self.caller_stream.begun,
         ):
             return True
-        self.parts.metrics.count('repeats.refused')
-        _parts.log(self.job, 'repeat budget spent', begun=self.out.begun)
+        self.context.metrics.count('repeats.refused')
+        _parts.log(
+            self.job, 'retry budget exhausted', begun=self.caller_stream.begun
+        )
         return False
 
-    def shows(self) -> None:
-        """Learn that events go out to the caller now."""
-        now = self.parts.clock()
+    def record_event_sent(self) -> None:
+        """Record that events are sent to the caller."""
+        now = self.context.clock()
         if self.first_s is None:
-            self.first_s = now - self.begun_at
-            self.parts.metrics.time('streams.first', self.first_s)
+            self.first_s = now - self.started_at
+            self.context.metrics.time('streams.first', self.first_s)
         else:
-            pause = now - self.shown_at
+            pause = now - self.last_event_at
             self.longest_pause_s = max(self.longest_pause_s, pause)
-        self.shown_at = now
+        self.last_event_at = now
 
     def _log_end(self, outcome: str, **fields: t.Any) -> None:
         first_s = self.first_s
         _parts.log(
             self.job,
             outcome,
-            last=self.last,
-            lost_runs=self.runs,
+            last=self.last_event_id,
+            lost_runs=self.lost_runs,
             first_s=None if first_s is None else round(first_s, 3),
             longest_pause_s=round(self.longest_pause_s, 3),
-            seconds=round(self.parts.clock() - self.begun_at, 3),
+            seconds=round(self.context.clock() - self.started_at, 3),
             **fields,
         )
 
-    def _end_early(self, reason: str, peer: str) -> calls.Reply | None:
+    def _end_incomplete(self, reason: str, peer: str) -> calls.Reply | None:
         self._log_end('stream ended early', reason=reason, peer=peer)
-        self.parts.metrics.count('streams.broken')
-        if self.out.begun:
-            self.out.cut()
+        self.context.metrics.count('streams.broken')
+        if self.caller_stream.begun:
+            self.caller_stream.cut()
             return None
-        if self.failed is not None:
-            return self.failed
-        if not self.runs:
-            raise _parts.refuse(self.job, reason)
-        late = self.left() < LEAST_LEFT_S
-        raise _parts.give_up(self.job, reason, peer, late=late)
+        if self.failure_reply is not None:
+            return self.failure_reply
+        if not self.lost_runs:
+            raise _parts.not_run_error(self.job, reason)
+        timed_out = self.remaining_s() < MIN_REMAINING_S
+        raise _parts.unknown_outcome_error(
+            self.job, reason, peer, timed_out=timed_out
+        )
 
-    # One engine
+    # Attempts at one engine
 
     async def _attempt(
         self, engine: decisions.Placed, copy: calls.RunCopy | None
@@ -255,94 +269,95 @@
             self.tried.add(engine.ident)
         backup = self.choose_backup(engine)
         self.backup = backup
-        self.backup_since = self.parts.clock()
+        self.backup_since = self.context.clock()
         reading = 0 if copy else self.tokens
-        self.parts.placement.began(engine, reading)
+        self.context.placement.began(engine, reading)
         engine.memory += self.memory
         if backup is not None:
             backup.memory += self.memory
-        flow = _flow.Flow(self, engine, copy, backup, reading)
+        engine_stream = _flow.EngineStream(self, engine, copy, backup, reading)
         _parts.log(
             self.job,
-            'stream placed',
+            'stream dispatched',
             engine=engine.ident,
             copy=copy.address if copy else '',
             backup=backup.ident if backup else '',
-            last=self.last,
+            last=self.last_event_id,
             reading=engine.reading + engine.others.reading,
             running=engine.inflight + engine.others.running,
             memory=engine.memory + engine.others.memory,
             load_age_s=round(
-                self.parts.clock() - self.parts.placement.last_report_at, 2
+                self.context.clock() - self.context.placement.last_report_at, 2
             ),
         )
         try:
-            return await flow.run()
+            return await engine_stream.run()
         finally:
-            flow.close()
-            self.parts.placement.ended(engine, flow.reading)
+            engine_stream.close()
+            self.context.placement.ended(engine, engine_stream.reading)
             engine.memory -= self.memory
-            if flow.backup is not None:
-                flow.backup.memory -= self.memory
+            if engine_stream.backup is not None:
+                engine_stream.backup.memory -= self.memory
 
     def choose_backup(
         self, engine: decisions.Placed
     ) -> decisions.Placed | None:
         if not (self.job.route.resumable and self.tokens):
             return None
-        now = self.parts.clock()
-        return self.parts.placement.choose_backup(
+        now = self.context.clock()
+        return self.context.placement.choose_backup(
             engine,
             now,
             self.tried,
             self.memory,
-            overloaded=self.parts.admission.overloaded(now),
+            overloaded=self.context.admission.overloaded(now),
         )
 
-    async def _look_whether_gone(
+    async def _check_reachable(
         self, engine: decisions.Placed, lost: _flow.StreamLostError
     ) -> None:
-        """Tell a dead engine from one that lost an answer.
+        """Check whether an engine that broke the connection is alive.
 
-        A dead one refuses connections at once. One that lives is still good
-        for others' streams and keeps its copies; taken for dead by all
-        entries, a few such faults leave them without engines.
+        A crashed engine refuses connections. A live one still serves other
+        streams and holds copies, and must not be marked as lost.
         """
-        if lost.reset and await self.parts.client.alive(
-            engine.address, _liveness.ASKED_S
+        if lost.reset and await self.context.client.alive(
+            engine.address, _liveness.PROBE_TIMEOUT_S
         ):
-            lost.gone = False
+            lost.unreachable = False
 
-    def _learn_loss(
+    def _record_loss(
         self, engine: decisions.Placed, lost: _flow.StreamLostError
     ) -> None:
-        now = self.parts.clock()
-        self.parts.placement.failed(engine.ident, now, gone=lost.gone)
-        self.parts.metrics.count('engines.lost')
-        if lost.gone:
+        now = self.context.clock()
+        self.context.placement.failed(engine.ident, now, gone=lost.unreachable)
+        self.context.metrics.count('engines.lost')
+        if lost.unreachable:
             self.lost_data_centre = engine.data_centre
-        if lost.gone and lost.sent:
-            self.parts.crashers.died(self.job.fingerprint, engine.ident, now)
-        if self.out.begun and self.lost_at is None:
-            self.lost_at = now
+        if lost.unreachable and lost.sent:
+            self.context.crashers.died(self.job.fingerprint, engine.ident, now)
+        if self.caller_stream.begun and self.interrupted_at is None:
+            self.interrupted_at = now
         _parts.log(
             self.job,
             'engine lost',
             engine=engine.ident,
             reason=str(lost),
-            last=self.last,
-            gone=lost.gone,
+            last=self.last_event_id,
+            gone=lost.unreachable,
         )
 
-    def took(self, ident: str) -> None:
-        """Learn that events are coming from an engine."""
-        now = self.parts.clock()
-        if self.lost_at is not None:
-            self.parts.metrics.time('streams.resumed', now - self.lost_at)
+    def record_resumption(self, ident: str) -> None:
+        """Record that a stream receives events again."""
+        now = self.context.clock()
+        if self.interrupted_at is not None:
+            self.context.metrics.time(
+                'streams.resumed', now - self.interrupted_at
+            )
             _parts.log(
                 self.job,
                 'stream resumed',
                 engine=ident,
-                seconds=round(now - self.lost_at, 3),
+                seconds=round(now - self.interrupted_at, 3),
             )
-            self.lost_at = None
+            self.interrupted_at = None
