--- a/tests/platform/test_fuzzing.py
+++ b/tests/platform/test_fuzzing.py
@@ -43,7 +43,7 @@
     ),
     max_leaves=12,
 )
-DEEP = st.sampled_from(
+DEEPLY_NESTED = st.sampled_from(
     [b'[' * 100_000, b'{"held":' * 100_000, b'{"a":' * 9999]
 )
 BODY = st.binary(max_size=200) | JSON.map(lambda j: json.dumps(j).encode())
@@ -55,7 +55,7 @@
 )
 
 
-def document(**changes):
+def make_document(**changes):
     route = {
         'hostname': 'h',
         'path-prefix': '/a/',
@@ -63,18 +63,18 @@
         'timeout-ms': 3000,
         'service': 's',
     }
-    whole = {
+    original = {
         'config-version': 3,
         'routes': [route],
         'services': [{'name': 's'}],
         'tenants': [{'name': 'a', 'api-keys': ['k']}],
     }
-    return {**whole, **changes}
+    return {**original, **changes}
 
 
 @fuzzed
-@hypothesis.given(BODY | DEEP)
-def test_any_route_map_is_read_or_refused(body):
+@hypothesis.given(BODY | DEEPLY_NESTED)
+def test_route_map_is_decoded_or_rejected(body):
     try:
         _operators.read_document(body)
     except errors.RouteMapError as error:
@@ -86,9 +86,9 @@
     st.sampled_from(['config-version', 'routes', 'services', 'tenants', 'x']),
     JSON,
 )
-def test_any_field_of_a_route_map_is_read_or_refused(name, value):
+def test_route_map_field_is_decoded_or_rejected(name, value):
     try:
-        body = json.dumps(document(**{name: value})).encode()
+        body = json.dumps(make_document(**{name: value})).encode()
         route_map = _operators.read_document(body)
     except errors.RouteMapError as error:
         assert str(error)
@@ -98,9 +98,9 @@
 
 @fuzzed
 @hypothesis.given(JSON)
-def test_any_item_of_the_list_names_a_server_or_none(item):
-    found = _list._backend(item)
-    assert found is None or found.slots >= 1
+def test_backend_list_item_is_decoded_or_skipped(item):
+    parsed = _list._parse_backend(item)
+    assert parsed is None or parsed.slots >= 1
 
 
 class _Response:
@@ -131,27 +131,27 @@
 @hypothesis.given(
     st.lists(
         BODY
-        | DEEP
+        | DEEPLY_NESTED
         | st.fixed_dictionaries({'instances': JSON, 'next': JSON}).map(
             lambda page: json.dumps(page).encode()
         ),
         max_size=3,
     )
 )
-def test_any_list_is_read_or_given_up(bodies):
-    backends = _list.PlatformBackends(_Session(bodies), '10.0.0.1:1')
+def test_backend_list_is_decoded_or_rejected(bodies):
+    backends = _list.PlatformBackendList(_Session(bodies), '10.0.0.1:1')
     try:
-        found = asyncio.run(backends.fetch())
+        parsed = asyncio.run(backends.fetch())
     except errors.PeerError as error:
         assert str(error)
     else:
-        assert all(one.ident for one in found)
+        assert all(backend.ident for backend in parsed)
 
 
 @fuzzed
-@hypothesis.given(BODY | DEEP)
-def test_any_answer_about_memory_is_read_or_given_up(body):
-    engines = _engines.PlatformEngines()
+@hypothesis.given(BODY | DEEPLY_NESTED)
+def test_cache_response_is_decoded_or_rejected(body):
+    engines = _engines.PlatformEngineDialect()
     for read in (engines.read_parts, engines.read_copy):
         try:
             read(body)
@@ -179,10 +179,10 @@
         },
     )
 )
-def test_any_request_is_read_or_refused(headers):
+def test_request_headers_are_decoded_or_rejected(headers):
     headers = {'Bulrushhold-Request-Id': 'r', **headers}
     try:
-        call = _callers.PlatformCallers().read_call(
+        call = _callers.PlatformCallerDialect().read_call(
             'POST', '/a', multidict.CIMultiDict(headers), b''
         )
     except errors.RequestError as error:
@@ -195,7 +195,7 @@
 
 @fuzzed
 @hypothesis.given(st.lists(st.binary(max_size=60) | st.just(b'id: 3\n\n')))
-def test_any_stream_gives_all_its_bytes_or_one_error(chunks):
+def test_event_stream_is_passed_on_unchanged_or_rejected(chunks):
     splitter = forwarding.EventSplitter()
     out = b''
     try:
@@ -209,7 +209,7 @@
 
 @fuzzed
 @hypothesis.given(st.binary(max_size=300))
-def test_any_message_of_a_peer_is_read_or_refused(data):
+def test_peer_message_is_decoded_or_rejected(data):
     for body in (
         data,
         b'\x92\xaaLoadReport' + data,
@@ -222,38 +222,40 @@
 
 
 @pytest.fixture(scope='module')
-def written(tmp_path_factory):
+def written_log(tmp_path_factory):
     folder = tmp_path_factory.mktemp('written')
-    founding = messages.Config(voters={'c1.founder': '127.0.0.1:1'})
+    initial_config = messages.Config(voters={'c1.founder': '127.0.0.1:1'})
     log = node.FileLog(folder)
-    log.write_identity(node.Identity('c1.founder', founding))
-    log.load(founding)
+    log.write_identity(node.Identity('c1.founder', initial_config))
+    log.load(initial_config)
     for number in range(1, 9):
         entry = messages.LogEntry(
             number, 1, messages.KIND_COMMAND, b'data %d' % number
         )
         log.save(1, '', [entry])
     log.close()
-    return folder, founding, log.log_path.read_bytes()
+    return folder, initial_config, log.log_path.read_bytes()
 
 
 @fuzzed
 @hypothesis.given(
     st.integers(0, 400), st.integers(0, 255), st.integers(0, 400)
 )
-def test_any_damage_to_a_log_is_a_torn_end_or_one_error(
-    written, at, byte, length
+def test_damaged_log_is_truncated_or_rejected(
+    written_log, offset, byte, length
 ):
-    folder, founding, whole = written
-    damaged = bytearray(whole[: max(1, length)])
-    damaged[at % len(damaged)] = byte
+    folder, initial_config, original = written_log
+    damaged = bytearray(original[: max(1, length)])
+    damaged[offset % len(damaged)] = byte
     (folder / 'log').write_bytes(damaged)
     log = node.FileLog(folder)
     try:
-        durable = log.load(founding)
+        persisted = log.load(initial_config)
     except errors.StorageError as error:
         assert 'log' in str(error)
     else:
         log.close()
-        kept = [entry.data for entry in durable.entries]
-        assert kept == [b'data %d' % n for n in range(1, len(kept) + 1)]
+        recovered = [entry.data for entry in persisted.entries]
+        assert recovered == [
+            b'data %d' % n for n in range(1, len(recovered) + 1)
+        ]
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -29,12 +29,14 @@
 
 
 def read_call(headers=HEADERS):
-    return _callers.PlatformCallers().read_call('POST', '/a/b?c', headers, b'')
+    return _callers.PlatformCallerDialect().read_call(
+        'POST', '/a/b?c', headers, b''
+    )
 
 
-def sent(call, **options):
+def sent_headers(call, **options):
     attempt = calls.Attempt('10.0.0.1:80', 'i-1', 'acct', 1.25, **options)
-    pairs = _engines.PlatformEngines().request_headers(call, attempt)
+    pairs = _engines.PlatformEngineDialect().request_headers(call, attempt)
     return multidict.CIMultiDict(pairs)
 
 
@@ -64,20 +66,20 @@
         'Connection',
     ],
 )
-def test_callers_cannot_set_what_is_ours(name):
+def test_reserved_headers_from_callers_are_dropped(name):
     headers = multidict.CIMultiDict(HEADERS)
     headers[name] = 'forged'
-    assert 'forged' not in sent(read_call(headers)).values()
+    assert 'forged' not in sent_headers(read_call(headers)).values()
 
 
-def test_headers_named_by_the_connection_stay_on_it():
+def test_headers_listed_in_connection_are_not_forwarded():
     headers = multidict.CIMultiDict(HEADERS)
     headers['Connection'] = 'close, X-Own'
-    assert 'X-Own' not in sent(read_call(headers))
+    assert 'X-Own' not in sent_headers(read_call(headers))
 
 
-def test_an_attempt_tells_what_is_left_and_who_is_meant():
-    headers = sent(
+def test_attempt_headers_name_deadline_and_instance():
+    headers = sent_headers(
         read_call(),
         after=7,
         backup='10.0.0.2:80',
@@ -93,45 +95,49 @@
     assert len(headers.getall('Last-Event-Id')) == 1
 
 
-def test_a_copy_by_order_has_a_name_of_its_own():
-    headers = sent(read_call(), copy=calls.RunCopy('10.0.0.3:80', 'h7'))
+def test_requested_copy_is_addressed_by_its_handle():
+    headers = sent_headers(
+        read_call(), copy=calls.RunCopy('10.0.0.3:80', 'h7')
+    )
     assert headers['Kv-From'] == '10.0.0.3:80/h7'
 
 
-def head(status=200, **headers):
+def read_answer_head(status=200, **headers):
     pairs = multidict.CIMultiDict(
         {'Bulrushhold-Request-Id': 'req-1', **headers}
     )
-    return _engines.PlatformEngines().read_head(read_call(), status, pairs)
+    return _engines.PlatformEngineDialect().read_head(
+        read_call(), status, pairs
+    )
 
 
-def test_an_answer_is_judged_by_id_mark_and_encoding():
-    marked = head(**{'Bulrushhold-Response-Stamp': 's'})
-    assert marked.own and marked.genuine and not marked.not_run
-    assert not head(**{'Bulrushhold-Request-Id': 'req-2'}).own
-    assert not head(**{'Content-Encoding': 'gzip'}).own
-    assert not head().genuine
-    assert head(503, **{'Bulrushhold-Not-Run': '1'}).not_run
-    assert head(421).not_run
-    assert not head(500).not_run
+def test_response_is_checked_by_id_stamp_and_encoding():
+    stamped = read_answer_head(**{'Bulrushhold-Response-Stamp': 's'})
+    assert stamped.own and stamped.genuine and not stamped.not_run
+    assert not read_answer_head(**{'Bulrushhold-Request-Id': 'req-2'}).own
+    assert not read_answer_head(**{'Content-Encoding': 'gzip'}).own
+    assert not read_answer_head().genuine
+    assert read_answer_head(503, **{'Bulrushhold-Not-Run': '1'}).not_run
+    assert read_answer_head(421).not_run
+    assert not read_answer_head(500).not_run
 
 
-def test_load_is_read_or_passed_over():
-    load = head(**{'Bulrushhold-Instance-Load': '3,1,8'}).load
+def test_load_header_is_decoded_or_ignored():
+    load = read_answer_head(**{'Bulrushhold-Instance-Load': '3,1,8'}).load
     assert load == calls.BackendLoad(3, 1, 8)
-    assert head(**{'Bulrushhold-Instance-Load': 'x'}).load is None
+    assert read_answer_head(**{'Bulrushhold-Instance-Load': 'x'}).load is None
 
 
 @pytest.mark.parametrize(
     'name', ['Bulrushhold-Deadline-Ms', 'Bulrushhold-Token-Counts']
 )
-def test_a_header_that_cannot_be_read_is_refused_by_name(name):
+def test_malformed_header_is_rejected_by_name(name):
     headers = multidict.CIMultiDict(HEADERS)
     headers[name] = 'x'
-    with pytest.raises(errors.RequestError) as caught:
+    with pytest.raises(errors.RequestError) as exc_info:
         read_call(headers)
-    assert caught.value.status == 400
-    assert name in caught.value.reason
+    assert exc_info.value.status == 400
+    assert name in exc_info.value.reason
 
 
 # Operators' documents
@@ -175,25 +181,27 @@
 }
 
 
-def test_a_document_becomes_a_route_map():
+def test_document_is_decoded_into_a_route_map():
     route_map = _operators.read_document(json.dumps(DOCUMENT).encode())
-    stream, once = route_map.routes
+    stream, at_most_once = route_map.routes
     assert route_map.version == 7
     assert stream.kind is routes.Kind.STREAM
     assert stream.repeatable and stream.timeout_s == 25.0
-    assert [part.weight for part in stream.targets] == [90, 10]
-    assert once.kind is routes.Kind.ONCE and not once.repeatable
+    assert [item.weight for item in stream.targets] == [90, 10]
+    assert (
+        at_most_once.kind is routes.Kind.ONCE and not at_most_once.repeatable
+    )
     assert route_map.services[0].backups
     assert route_map.accounts == [routes.ClientAccount('t-1', ['k-1'], 1)]
 
 
-def changed(path, value):
+def modified_document(path, value):
     document = json.loads(json.dumps(DOCUMENT))
-    *way, last = path
-    part = document
-    for step in way:
-        part = part[step]
-    part[last] = value
+    *parents, last = path
+    item = document
+    for step in parents:
+        item = item[step]
+    item[last] = value
     return json.dumps(document).encode()
 
 
@@ -203,22 +211,24 @@
         json.dumps(DOCUMENT).encode()[:-20],
         b'',
         b'[]',
-        changed(('routes', 1, 'service'), 'nobody'),
-        changed(('routes', 1, 'path-prefix'), '/a/'),
-        changed(('routes', 0, 'weighted-backends', 0, 'weight'), -10),
-        changed(('routes', 1, 'timeout-ms'), 0),
-        changed(('routes', 1, 'service'), None),
-        changed(
+        modified_document(('routes', 1, 'service'), 'nobody'),
+        modified_document(('routes', 1, 'path-prefix'), '/a/'),
+        modified_document(
+            ('routes', 0, 'weighted-backends', 0, 'weight'), -10
+        ),
+        modified_document(('routes', 1, 'timeout-ms'), 0),
+        modified_document(('routes', 1, 'service'), None),
+        modified_document(
             ('tenants',),
             [
                 {'name': 'x', 'api-keys': ['k']},
                 {'name': 'y', 'api-keys': ['k']},
             ],
         ),
-        changed(('config-version',), 'seven'),
+        modified_document(('config-version',), 'seven'),
     ],
 )
-def test_an_invalid_document_is_refused(data):
+def test_invalid_document_is_rejected(data):
     with pytest.raises(errors.RouteMapError):
         _operators.read_document(data)
 
@@ -235,8 +245,8 @@
 }
 
 
-def test_an_item_of_the_list_is_decoded():
-    backend = _list._backend({**ITEM, 'more': 1})
+def test_backend_list_item_is_decoded():
+    backend = _list._parse_backend({**ITEM, 'more': 1})
     assert backend.leaving and backend.data_centre == 'north'
 
 
@@ -252,9 +262,9 @@
         {'zone': ''},
     ],
 )
-def test_an_item_of_another_writer_names_no_server(change):
-    assert _list._backend({**ITEM, **change}) is None
-    assert _list._backend('text') is None
+def test_invalid_backend_list_item_is_skipped(change):
+    assert _list._parse_backend({**ITEM, **change}) is None
+    assert _list._parse_backend('text') is None
 
 
 # Settings
@@ -286,9 +296,9 @@
     return _settings.load(str(path))
 
 
-def test_the_first_seed_alone_says_who_founds_the_log(tmp_path):
+def test_only_the_first_seed_bootstraps_the_log(tmp_path):
     node = load(tmp_path)
-    assert node.appoints
+    assert node.bootstraps
     control = node.control()
     assert control.name == '10-1-0-19' and control.founds
     assert [str(peer) for peer in control.contacts] == [
@@ -298,7 +308,7 @@
     ]
     assert control.voters == 3
     second = load(tmp_path, SETTINGS.replace('ip = "10.1.', 'ip = "10.2.'))
-    assert not second.appoints
+    assert not second.bootstraps
 
 
 @pytest.mark.parametrize(
@@ -308,22 +318,22 @@
         SETTINGS.replace('ip = "10.1.0.19"', 'ip = "10.1.0.77"'),
     ],
 )
-def test_any_other_instance_joins_and_never_founds(tmp_path, text):
+def test_other_instances_join_and_never_bootstrap(tmp_path, text):
     # An instance that lost its disk, or replaces another one, must not found
     # a second log beside the one that holds what was acknowledged.
     node = load(tmp_path, text)
-    assert not node.appoints
+    assert not node.bootstraps
     assert list(node.control().replicas) == [node.control().name]
     assert len(node.control().contacts) == 3
 
 
-def test_the_voters_bear_the_losses_that_are_to_be_borne(tmp_path):
+def test_voter_count_covers_the_tolerated_failures(tmp_path):
     text = SETTINGS.replace('machines = 1', 'machines = 2')
     assert load(tmp_path, text).control().voters == 5
 
 
 @pytest.mark.parametrize(
-    ('text', 'named'),
+    ('text', 'expected'),
     [
         (SETTINGS.replace('ip = "10.1.0.19"', ''), 'ip'),
         (SETTINGS.replace('[7340, 7355]', '"x"'), 'internal-ports'),
@@ -331,8 +341,8 @@
         ('= broken', 'line 1'),
     ],
 )
-def test_wrong_settings_are_named_on_one_line(tmp_path, text, named):
-    with pytest.raises(errors.SettingsError) as caught:
+def test_invalid_settings_are_reported_on_one_line(tmp_path, text, expected):
+    with pytest.raises(errors.SettingsError) as exc_info:
         load(tmp_path, text)
-    assert named in str(caught.value)
-    assert '\n' not in str(caught.value)
+    assert expected in str(exc_info.value)
+    assert '\n' not in str(exc_info.value)
