--- a/src/bulrushhold/web/_backends.py
+++ b/src/bulrushhold/web/_backends.py
@@ -13,16 +13,21 @@
 
 # A path of 3 ms and a handshake of 1 ms leave a wide margin; a lost opening
 # packet is sent again only after a second, and another server is closer.
-CONNECT_S: t.Final = 0.25
+CONNECT_TIMEOUT_S: t.Final = 0.25
 # Backend servers close idle connections after a time of their own; a request
 # that crosses that close may be lost. Under load a connection is seldom idle
 # for longer than this.
-IDLE_S: t.Final = 1.0
-_SKIPPED: t.Final = ('User-Agent', 'Accept', 'Accept-Encoding', 'Content-Type')
-_LOST: t.Final = (aiohttp.ClientError, OSError, ValueError)
+KEEPALIVE_TIMEOUT_S: t.Final = 1.0
+_SKIPPED_AUTO_HEADERS: t.Final = (
+    'User-Agent',
+    'Accept',
+    'Accept-Encoding',
+    'Content-Type',
+)
+_HTTP_ERRORS: t.Final = (aiohttp.ClientError, OSError, ValueError)
 
 
-class _HttpAnswer(calls.BackendAnswer):
+class _HttpBackendAnswer(calls.BackendAnswer):
     def __init__(
         self,
         head: calls.AnswerHead,
@@ -36,14 +41,14 @@
     async def chunk(self) -> bytes:
         try:
             return await self.response.content.readany()
-        except _LOST as error:
-            raise _lost(error, 'answer', self.address) from error
+        except _HTTP_ERRORS as error:
+            raise _to_backend_error(error, 'answer', self.address) from error
 
     async def body(self) -> bytes:
         try:
             return await self.response.read()
-        except _LOST as error:
-            raise _lost(error, 'answer', self.address) from error
+        except _HTTP_ERRORS as error:
+            raise _to_backend_error(error, 'answer', self.address) from error
 
     def close(self) -> None:
         self.response.close()
@@ -57,14 +62,16 @@
 
     def __init__(self, dialect: calls.EngineDialect) -> None:
         self.dialect = dialect
-        self.kept = _connections.make_session(keepalive_timeout=IDLE_S)
-        self.fresh = _connections.make_session(force_close=True)
+        self.pooled = _connections.make_session(
+            keepalive_timeout=KEEPALIVE_TIMEOUT_S
+        )
+        self.unpooled = _connections.make_session(force_close=True)
 
     async def send(
         self, call: calls.Call, attempt: calls.Attempt
     ) -> calls.BackendAnswer:
         """Send a call; see :meth:`calls.BackendClient.send`."""
-        session = self.fresh if attempt.fresh else self.kept
+        session = self.unpooled if attempt.fresh else self.pooled
         url = yarl.URL(f'http://{attempt.address}{call.target}', encoded=True)
         try:
             response = await session.request(
@@ -73,32 +80,34 @@
                 headers=self.dialect.request_headers(call, attempt),
                 data=call.body or None,
                 allow_redirects=False,
-                skip_auto_headers=_SKIPPED,
+                skip_auto_headers=_SKIPPED_AUTO_HEADERS,
                 timeout=aiohttp.ClientTimeout(
-                    total=None, sock_connect=CONNECT_S
+                    total=None, sock_connect=CONNECT_TIMEOUT_S
                 ),
             )
         except (
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
         ) as error:
-            raise _lost(error, 'connect', attempt.address) from error
-        except _LOST as error:
-            raise _lost(error, 'send', attempt.address) from error
+            raise _to_backend_error(
+                error, 'connect', attempt.address
+            ) from error
+        except _HTTP_ERRORS as error:
+            raise _to_backend_error(error, 'send', attempt.address) from error
         head = self.dialect.read_head(call, response.status, response.headers)
-        return _HttpAnswer(head, response, attempt.address)
+        return _HttpBackendAnswer(head, response, attempt.address)
 
     async def alive(self, address: str, timeout: float) -> bool:
         """Ask a model engine for its report."""
         url = yarl.URL(f'http://{address}{self.dialect.probe_path()}')
         try:
             async with asyncio.timeout(timeout):
-                async with self.kept.get(
+                async with self.pooled.get(
                     url, timeout=aiohttp.ClientTimeout(total=None)
                 ) as response:
                     await response.read()
                     return response.status == 200
-        except (TimeoutError, *_LOST):
+        except (TimeoutError, *_HTTP_ERRORS):
             return False
 
     async def parts_kept(self, address: str, timeout: float) -> frozenset[str]:
@@ -106,11 +115,11 @@
         url = yarl.URL(f'http://{address}{self.dialect.parts_path()}')
         try:
             async with asyncio.timeout(timeout):
-                async with self.kept.get(url) as response:
+                async with self.pooled.get(url) as response:
                     body = await response.read()
                     status = response.status
-        except (TimeoutError, *_LOST) as error:
-            raise _lost(error, 'parts', address) from error
+        except (TimeoutError, *_HTTP_ERRORS) as error:
+            raise _to_backend_error(error, 'parts', address) from error
         if status != 200:
             raise errors.BackendError(f'status {status}', 'parts', address)
         return self.dialect.read_parts(body)
@@ -122,15 +131,15 @@
         path, body = self.dialect.copy_order(call, target)
         try:
             async with asyncio.timeout(timeout):
-                async with self.fresh.post(
+                async with self.unpooled.post(
                     yarl.URL(f'http://{source}{path}', encoded=True),
                     data=body,
                     headers={'Content-Type': 'application/json'},
                 ) as response:
                     answer = await response.read()
                     status = response.status
-        except (TimeoutError, *_LOST) as error:
-            raise _lost(error, 'copy', source) from error
+        except (TimeoutError, *_HTTP_ERRORS) as error:
+            raise _to_backend_error(error, 'copy', source) from error
         if status != 200:
             raise errors.BackendError(f'status {status}', 'copy', source)
         return calls.RunCopy(source, self.dialect.read_copy(answer))
@@ -140,9 +149,9 @@
         url = f'http://{copy.address}{self.dialect.drop_path(copy)}'
         try:
             async with asyncio.timeout(timeout):
-                async with self.fresh.delete(url) as response:
+                async with self.unpooled.delete(url) as response:
                     await response.read()
-        except (TimeoutError, *_LOST) as error:
+        except (TimeoutError, *_HTTP_ERRORS) as error:
             # The engine frees it by itself some seconds later.
             loguru.logger.bind(peer=copy.address, error=str(error)).debug(
                 'copy not dropped'
@@ -150,11 +159,11 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        await self.kept.close()
-        await self.fresh.close()
+        await self.pooled.close()
+        await self.unpooled.close()
 
 
-def _lost(
+def _to_backend_error(
     error: BaseException, step: str, address: str
 ) -> errors.BackendError:
     reason = ' '.join(f'{type(error).__name__}: {error}'.split())
--- a/src/bulrushhold/web/_connections.py
+++ b/src/bulrushhold/web/_connections.py
@@ -7,7 +7,7 @@
 from aiohttp import client_proto
 
 
-class _GuardedHandler(client_proto.ResponseHandler):
+class _StrictResponseHandler(client_proto.ResponseHandler):
     """Closes a connection on which more comes than was asked for.
 
     A faulty backend server may send a second answer after a whole one.
@@ -38,7 +38,7 @@
         super().connection_lost(exc)
 
 
-class GuardedConnector(aiohttp.TCPConnector):
+class StrictConnector(aiohttp.TCPConnector):
     """Makes guarded connections, without a limit to their number.
 
     A limit would hold back requests as if backend servers were slow; how
@@ -47,13 +47,15 @@
 
     def __init__(self, **options: t.Any) -> None:
         super().__init__(limit=0, **options)
-        self._factory = functools.partial(_GuardedHandler, loop=self._loop)
+        self._factory = functools.partial(
+            _StrictResponseHandler, loop=self._loop
+        )
 
 
 def make_session(**connector_options: t.Any) -> aiohttp.ClientSession:
     """Return a session that sends each request once, as it is given."""
     session = aiohttp.ClientSession(
-        connector=GuardedConnector(**connector_options),
+        connector=StrictConnector(**connector_options),
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
         timeout=aiohttp.ClientTimeout(total=None),
--- a/src/bulrushhold/web/_engine.py
+++ b/src/bulrushhold/web/_engine.py
@@ -10,23 +10,23 @@
 from bulrushhold import errors
 from bulrushhold import ports
 
-CONNECT_S: t.Final = 1.0
-PROBE_S: t.Final = 0.3
+CONNECT_TIMEOUT_S: t.Final = 1.0
+PROBE_TIMEOUT_S: t.Final = 0.3
 RUNNING_HEADER: t.Final = 'X-Running'
 LEAVING_HEADER: t.Final = 'X-Leaving'
 FINAL_STATUSES: t.Final = frozenset((400, 413, 422))
-_DATA: t.Final = b'data: '
+_DATA_PREFIX: t.Final = b'data: '
 
 
-_EVENTS = msgspec.json.Decoder(ports.Event)
-_ENCODER = msgspec.json.Encoder()
-_BROKEN: t.Final = (
+_EVENT_DECODER = msgspec.json.Decoder(ports.Event)
+_REQUEST_ENCODER = msgspec.json.Encoder()
+_HTTP_ERRORS: t.Final = (
     aiohttp.ClientError,
     ConnectionError,
     asyncio.TimeoutError,
 )
 # No byte of a request can have left.
-_UNREACHED: t.Final = (
+_CONNECT_ERRORS: t.Final = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
 )
@@ -41,7 +41,7 @@
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self.session = session
         self.timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=CONNECT_S
+            total=None, sock_connect=CONNECT_TIMEOUT_S
         )
         self.reports: dict[str, ports.LoadReport] = {}
 
@@ -52,18 +52,18 @@
         take: cabc.Callable[[ports.Event], bool],
     ) -> None:
         """Give the engine's events to ``take`` until it has enough."""
-        response = await self._open(address, order)
-        read = response.content.readany
+        response = await self._send_request(address, order)
+        read_chunk = response.content.readany
         pending = b''
         try:
-            while chunk := await read():
+            while chunk := await read_chunk():
                 *lines, pending = (pending + chunk).split(b'\n')
                 for line in lines:
-                    if line.startswith(_DATA) and not take(
-                        _EVENTS.decode(line[len(_DATA) :])
+                    if line.startswith(_DATA_PREFIX) and not take(
+                        _EVENT_DECODER.decode(line[len(_DATA_PREFIX) :])
                     ):
                         return
-        except _BROKEN as error:
+        except _HTTP_ERRORS as error:
             raise errors.EngineLostError(
                 str(error) or type(error).__name__, 'stream', address
             ) from error
@@ -86,16 +86,16 @@
             async with self.session.post(
                 f'http://{address}/v1/cancel',
                 json=body,
-                timeout=aiohttp.ClientTimeout(total=CONNECT_S),
+                timeout=aiohttp.ClientTimeout(total=CONNECT_TIMEOUT_S),
             ):
                 pass
-        except _BROKEN:
+        except _HTTP_ERRORS:
             return
 
     async def alive(self, address: str) -> bool:
         """Whether anything accepts connections there."""
         try:
-            async with asyncio.timeout(PROBE_S):
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(
                     *address.rsplit(':', 1)
                 )
@@ -107,21 +107,21 @@
         writer.close()
         return True
 
-    async def _open(
+    async def _send_request(
         self, address: str, order: ports.Generate
     ) -> aiohttp.ClientResponse:
         try:
             response = await self.session.post(
                 f'http://{address}/v1/chat/completions',
-                data=_ENCODER.encode(order),
+                data=_REQUEST_ENCODER.encode(order),
                 headers={'Content-Type': 'application/json'},
                 timeout=self.timeout,
             )
-        except _UNREACHED as error:
+        except _CONNECT_ERRORS as error:
             raise errors.EngineLostError(
                 str(error), 'connect', address
             ) from error
-        except _BROKEN as error:
+        except _HTTP_ERRORS as error:
             raise errors.EngineLostError(
                 str(error) or type(error).__name__, 'dispatch', address
             ) from error
--- a/src/bulrushhold/web/_ingress.py
+++ b/src/bulrushhold/web/_ingress.py
@@ -13,22 +13,24 @@
 
 # Callers decide how long to keep an idle connection; closing it first could
 # cross a request, which would be lost unseen.
-IDLE_S: t.Final = 3600.0
+KEEPALIVE_TIMEOUT_S: t.Final = 3600.0
 # What is still in progress when the port closes has had its time.
-CLOSE_S: t.Final = 0.2
+SHUTDOWN_TIMEOUT_S: t.Final = 0.2
 MAX_BODY_BYTES: t.Final = 64 << 20
 MAX_FIELD_BYTES: t.Final = 65536
 
-Handle = cabc.Callable[
+Handler = cabc.Callable[
     [calls.Call, calls.CallerStream], cabc.Awaitable[calls.Reply | None]
 ]
 
 
 class _HttpCallerStream(calls.CallerStream):
-    def __init__(self, request: web.BaseRequest, closing: bool) -> None:
+    def __init__(
+        self, request: web.BaseRequest, close_connection: bool
+    ) -> None:
         self.request = request
         self.response = web.StreamResponse()
-        self.closing = closing
+        self.close_connection = close_connection
         self.begun = False
 
     @property
@@ -40,7 +42,7 @@
         self.response.set_status(status)
         self.response.headers.extend(headers)
         self.response.enable_chunked_encoding()
-        if self.closing:
+        if self.close_connection:
             self.response.force_close()
         self.begun = True
         await self.response.prepare(self.request)
@@ -63,7 +65,7 @@
     :param handle: gives a reply, or ``None`` where it used the stream.
     """
 
-    def __init__(self, handle: Handle, dialect: calls.CallerDialect) -> None:
+    def __init__(self, handle: Handler, dialect: calls.CallerDialect) -> None:
         self.handle = handle
         self.dialect = dialect
         self.draining = False
@@ -71,7 +73,7 @@
         self.server = web.Server(
             self._on_request,
             handler_cancellation=True,
-            keepalive_timeout=IDLE_S,
+            keepalive_timeout=KEEPALIVE_TIMEOUT_S,
             access_log=None,
             auto_decompress=False,
             max_line_size=MAX_FIELD_BYTES,
@@ -80,7 +82,9 @@
 
     async def start(self, host: str, port: int) -> None:
         """Open the port."""
-        self.runner = web.ServerRunner(self.server, shutdown_timeout=CLOSE_S)
+        self.runner = web.ServerRunner(
+            self.server, shutdown_timeout=SHUTDOWN_TIMEOUT_S
+        )
         await self.runner.setup()
         await web.TCPSite(self.runner, host, port, backlog=1024).start()
 
@@ -107,7 +111,7 @@
             ident = call.ident
             reply = await self.handle(call, stream)
         except errors.RequestError as error:
-            reply = _refusal(error, self.dialect.echo(ident))
+            reply = _error_reply(error, self.dialect.echo(ident))
         except (asyncio.CancelledError, ConnectionError):
             raise
         except Exception:
@@ -115,7 +119,7 @@
             error = errors.RequestError(
                 'internal error', 'entry', ran=errors.Ran.UNKNOWN, status=500
             )
-            reply = _refusal(error, self.dialect.echo(ident))
+            reply = _error_reply(error, self.dialect.echo(ident))
         if stream.begun:
             return stream.response
         assert reply is not None
@@ -127,11 +131,11 @@
         return response
 
 
-def _refusal(
+def _error_reply(
     error: errors.RequestError, headers: calls.Headers
 ) -> calls.Reply:
-    more = [('Content-Type', 'application/json'), *headers]
+    reply_headers = [('Content-Type', 'application/json'), *headers]
     if error.retry_after is not None:
-        more.append(('Retry-After', f'{error.retry_after:.2f}'))
+        reply_headers.append(('Retry-After', f'{error.retry_after:.2f}'))
     body = json.dumps(error.body()).encode()
-    return calls.Reply(error.status, tuple(more), body)
+    return calls.Reply(error.status, tuple(reply_headers), body)
--- a/src/bulrushhold/web/_metrics.py
+++ b/src/bulrushhold/web/_metrics.py
@@ -4,18 +4,18 @@
 
 from bulrushhold import node
 
-PATH = '/metrics'
+METRICS_PATH = '/metrics'
 
 
 def metrics_application(metrics: node.ServedMetrics) -> web.Application:
     """Return the application that answers with all figures as text."""
 
-    async def read(request: web.Request) -> web.Response:
+    async def handle_metrics(request: web.Request) -> web.Response:
         del request
         return web.Response(
             body=metrics.text(), headers={'Content-Type': 'text/plain'}
         )
 
     app = web.Application()
-    app.router.add_get(PATH, read)
+    app.router.add_get(METRICS_PATH, handle_metrics)
     return app
--- a/src/bulrushhold/web/_platform.py
+++ b/src/bulrushhold/web/_platform.py
@@ -8,7 +8,7 @@
 from bulrushhold import errors
 from bulrushhold import ports
 
-TIMEOUT_S = 2.0
+REQUEST_TIMEOUT_S = 2.0
 
 
 class HttpPlatformList(ports.PlatformList):
@@ -21,16 +21,16 @@
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
         self.session = session
         self.url = url
-        self.tag = ''
+        self.etag = ''
 
     async def fetch(self) -> ports.Platform | None:
         """Return the list, or ``None`` where it hasn't changed."""
-        headers = {'If-None-Match': self.tag} if self.tag else {}
+        headers = {'If-None-Match': self.etag} if self.etag else {}
         try:
             async with self.session.get(
                 self.url,
                 headers=headers,
-                timeout=aiohttp.ClientTimeout(total=TIMEOUT_S),
+                timeout=aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S),
             ) as response:
                 if response.status == 304:
                     return None
@@ -39,7 +39,7 @@
                         f'status {response.status}', 'platform', self.url
                     )
                 body = await response.read()
-                tag = response.headers.get('ETag', '')
+                etag = response.headers.get('ETag', '')
             platform = msgspec.json.decode(body, type=ports.Platform)
         except (
             aiohttp.ClientError,
@@ -50,5 +50,5 @@
             raise errors.PeerError(
                 str(error) or type(error).__name__, 'platform', self.url
             ) from error
-        self.tag = tag
+        self.etag = etag
         return platform
--- a/src/bulrushhold/web/_service.py
+++ b/src/bulrushhold/web/_service.py
@@ -8,8 +8,8 @@
 from bulrushhold import errors
 from bulrushhold import ports
 
-CONNECT_S: t.Final = 1.0
-MAX_ANSWER_BYTES: t.Final = 4 << 20
+CONNECT_TIMEOUT_S: t.Final = 1.0
+MAX_RESPONSE_BYTES: t.Final = 4 << 20
 REQUEST_HEADER: t.Final = 'X-Request-Id'
 
 
@@ -39,11 +39,11 @@
                     'Connection': 'close',
                 },
                 timeout=aiohttp.ClientTimeout(
-                    total=call.timeout_s, sock_connect=CONNECT_S
+                    total=call.timeout_s, sock_connect=CONNECT_TIMEOUT_S
                 ),
                 allow_redirects=False,
             ) as response:
-                return await _read(response, call, address)
+                return await _read_response(response, call, address)
         except aiohttp.ClientConnectorError as error:
             raise errors.BackendError(
                 str(error), 'connect', address
@@ -62,19 +62,19 @@
             ) from error
 
 
-async def _read(
+async def _read_response(
     response: aiohttp.ClientResponse, call: ports.ServiceCall, address: str
 ) -> ports.ServiceAnswer:
-    answered = response.headers.get(REQUEST_HEADER, '')
-    if answered != call.request:
+    response_id = response.headers.get(REQUEST_HEADER, '')
+    if response_id != call.request:
         response.close()
         raise errors.BackendError(
-            f'the answer is for request {answered!r}', 'call', address
+            f'the answer is for request {response_id!r}', 'call', address
         )
-    body = await response.content.read(MAX_ANSWER_BYTES + 1)
-    while len(body) <= MAX_ANSWER_BYTES and not response.content.at_eof():
-        body += await response.content.read(MAX_ANSWER_BYTES + 1 - len(body))
-    if len(body) > MAX_ANSWER_BYTES:
+    body = await response.content.read(MAX_RESPONSE_BYTES + 1)
+    while len(body) <= MAX_RESPONSE_BYTES and not response.content.at_eof():
+        body += await response.content.read(MAX_RESPONSE_BYTES + 1 - len(body))
+    if len(body) > MAX_RESPONSE_BYTES:
         response.close()
         raise errors.BackendError('the answer is too large', 'call', address)
     return ports.ServiceAnswer(
