--- a/src/bulrushhold/cli.py
+++ b/src/bulrushhold/cli.py
@@ -15,12 +15,12 @@
 from bulrushhold import errors
 from bulrushhold import settings
 
-REQUEST_S: t.Final = 15.0
-WAIT_POLL_S: t.Final = 0.5
-_FILE = click.Path(dir_okay=False)
+REQUEST_TIMEOUT_S: t.Final = 15.0
+POLL_INTERVAL_S: t.Final = 0.5
+_FILE_PATH = click.Path(dir_okay=False)
 
 
-class _Group(click.Group):
+class _ErrorHandlingGroup(click.Group):
     """Turns the project's errors into one line and exit status 1."""
 
     def invoke(self, ctx: click.Context) -> t.Any:
@@ -32,7 +32,7 @@
             sys.exit(1)
 
 
-@click.group(cls=_Group)
+@click.group(cls=_ErrorHandlingGroup)
 @click.version_option(bulrushhold.__version__, prog_name='bulrushhold')
 def main() -> None:
     """Serves long generations on engines that fail."""
@@ -40,11 +40,15 @@
 
 def _settings_option(function: t.Any) -> t.Any:
     return click.option(
-        '--settings', 'path', required=True, type=_FILE, help='Settings file.'
+        '--settings',
+        'path',
+        required=True,
+        type=_FILE_PATH,
+        help='Settings file.',
     )(function)
 
 
-def _level_option(function: t.Any) -> t.Any:
+def _log_level_option(function: t.Any) -> t.Any:
     return click.option(
         '--log-level', default='INFO', help='Least level that is logged.'
     )(function)
@@ -52,34 +56,34 @@
 
 @main.command('entry')
 @_settings_option
-@_level_option
+@_log_level_option
 def run_entry(path: str, log_level: str) -> None:
     """Run an entry process."""
     from bulrushhold import node
 
     config = settings.load(path, settings.Entry)
-    writer = node.configure_logs(log_level, config.name)
+    log_writer = node.configure_logs(log_level, config.name)
     asyncio.run(composition.run_entry(config))
-    writer.close()
+    log_writer.close()
 
 
 @main.command('control')
 @_settings_option
-@_level_option
+@_log_level_option
 def run_control(path: str, log_level: str) -> None:
     """Run a control process."""
     from bulrushhold import node
 
     config = settings.load(path, settings.Control)
-    writer = node.configure_logs(log_level, config.name)
+    log_writer = node.configure_logs(log_level, config.name)
     pathlib.Path(config.data_dir).mkdir(parents=True, exist_ok=True)
     asyncio.run(composition.run_control(config))
-    writer.close()
+    log_writer.close()
 
 
 @main.command('control-found')
 @_settings_option
-def found_control(path: str) -> None:
+def bootstrap_control(path: str) -> None:
     """Found a new log: once, on each first control instance.
 
     Never on an instance whose disk was lost: started with an empty data
@@ -98,7 +102,7 @@
 
 
 @settings_group.command('check')
-@click.argument('path', type=_FILE)
+@click.argument('path', type=_FILE_PATH)
 def check_settings(path: str) -> None:
     """Check a settings file of either daemon."""
     config = settings.load_any(path)
@@ -120,7 +124,7 @@
         '--key-file',
         required=True,
         envvar='BULRUSHHOLD_KEY_FILE',
-        type=_FILE,
+        type=_FILE_PATH,
         help='File with the operator key.',
     )(function)
 
@@ -133,10 +137,10 @@
 @table_group.command('pull')
 @_entry_option
 @_key_option
-@click.argument('path', type=_FILE)
+@click.argument('path', type=_FILE_PATH)
 def pull(address: str, key_file: str, path: str) -> None:
     """Write the table to a CSV file, to be edited and pushed."""
-    _, body = _http('GET', address, '/v1/table', key_file)
+    _, body = _send_request('GET', address, '/v1/table', key_file)
     pathlib.Path(path).write_bytes(body)
 
 
@@ -145,7 +149,7 @@
 @_key_option
 def show(address: str, key_file: str) -> None:
     """Print the table."""
-    _, body = _http('GET', address, '/v1/table', key_file)
+    _, body = _send_request('GET', address, '/v1/table', key_file)
     click.echo(body.decode(), nl=False)
 
 
@@ -154,10 +158,10 @@
 @_key_option
 def history(address: str, key_file: str) -> None:
     """Print the last edits, newest first."""
-    _, body = _http('GET', address, '/v1/table/history', key_file)
+    _, body = _send_request('GET', address, '/v1/table/history', key_file)
     for item in json.loads(body):
-        at = time.strftime('%Y-%m-%d %H:%M:%S', time.gmtime(item['at']))
-        click.echo(f'{item["revision"]} {at} {item["author"]}')
+        edited_at = time.strftime('%Y-%m-%d %H:%M:%S', time.gmtime(item['at']))
+        click.echo(f'{item["revision"]} {edited_at} {item["author"]}')
         for change in item['changes']:
             click.echo(f'    {change}')
 
@@ -169,7 +173,7 @@
 @click.option('--author', default=lambda: os.environ.get('USER', ''))
 @click.option('--wait', is_flag=True, help='Until in force everywhere.')
 @click.option('--wait-s', default=30.0, help='Seconds to wait at most.')
-@click.argument('path', type=_FILE)
+@click.argument('path', type=_FILE_PATH)
 def push(
     address: str,
     key_file: str,
@@ -189,20 +193,20 @@
         raise errors.BulrushholdError(
             error.strerror or 'unreadable', 'push', path
         ) from error
-    query = f'/v1/table?edit={edit_id}&author={author}'
+    target = f'/v1/table?edit={edit_id}&author={author}'
     click.echo(f'edit {edit_id}')
-    status, body = _http('POST', address, query, key_file, text)
+    status, body = _send_request('POST', address, target, key_file, text)
     outcome = json.loads(body)
     if not outcome.get('accepted'):
-        _show_refusal(status, outcome)
+        _print_rejection(status, outcome)
         sys.exit(1)
     revision = outcome['revision']
     click.echo(f'accepted: revision {revision}, {outcome["changed"]} rows')
     if wait:
-        _wait_in_force(address, revision, wait_s)
+        _wait_until_applied(address, revision, wait_s)
 
 
-def _show_refusal(status: int, outcome: dict[str, t.Any]) -> None:
+def _print_rejection(status: int, outcome: dict[str, t.Any]) -> None:
     reason = outcome.get('reason') or outcome.get('error', {}).get('reason')
     click.echo(f'refused: {reason or status}', err=True)
     for cell in outcome.get('cells', ()):
@@ -215,32 +219,32 @@
         )
 
 
-def _wait_in_force(address: str, revision: int, wait_s: float) -> None:
-    end = time.monotonic() + wait_s
+def _wait_until_applied(address: str, revision: int, wait_s: float) -> None:
+    deadline = time.monotonic() + wait_s
     while True:
-        _, body = _http('GET', address, '/v1/status')
+        _, body = _send_request('GET', address, '/v1/status')
         status = json.loads(body)
-        known = status['control'].get('in_force', {})
-        late = sorted(
+        applied = status['control'].get('in_force', {})
+        pending = sorted(
             name
             for name in status['entries']
-            if known.get(name, (0, 0))[0] < revision
+            if applied.get(name, (0, 0))[0] < revision
         )
-        if not late:
+        if not pending:
             click.echo(f'in force on {len(status["entries"])} instances')
             return
-        if time.monotonic() > end:
+        if time.monotonic() > deadline:
             raise errors.BulrushholdError(
-                f'not in force on: {", ".join(late)}', 'push', address
+                f'not in force on: {", ".join(pending)}', 'push', address
             )
-        time.sleep(WAIT_POLL_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
 @main.command('status')
 @_entry_option
 def show_status(address: str) -> None:
     """Print the status of an entry and of control as JSON."""
-    _, body = _http('GET', address, '/v1/status')
+    _, body = _send_request('GET', address, '/v1/status')
     click.echo(json.dumps(json.loads(body), indent=2))
 
 
@@ -253,7 +257,7 @@
 @_entry_option
 def show_quarantine(address: str) -> None:
     """Print the fingerprints that are refused."""
-    _, body = _http('GET', address, '/v1/status')
+    _, body = _send_request('GET', address, '/v1/status')
     for fingerprint in json.loads(body)['quarantined']:
         click.echo(fingerprint)
 
@@ -264,33 +268,33 @@
 @click.argument('fingerprint')
 def lift_quarantine(address: str, key_file: str, fingerprint: str) -> None:
     """Let a content run again."""
-    _http('DELETE', address, f'/v1/quarantine/{fingerprint}', key_file)
+    _send_request('DELETE', address, f'/v1/quarantine/{fingerprint}', key_file)
 
 
 @main.command('explain')
 @click.argument('request_id')
-@click.argument('files', nargs=-1, required=True, type=_FILE)
+@click.argument('files', nargs=-1, required=True, type=_FILE_PATH)
 def explain(request_id: str, files: tuple[str, ...]) -> None:
     """Print what the logs in FILES say of one request, in order.
 
     FILES hold JSON lines of any number of processes; other text before
     the JSON of a line is passed over.
     """
-    found = [
+    matching = [
         line
         for path in files
-        for line in _log_lines(path)
+        for line in _read_log_lines(path)
         if line.get('request') == request_id
     ]
-    if not found:
+    if not matching:
         raise errors.BulrushholdError(
             f'no line names {request_id}', 'explain', ', '.join(files)
         )
-    for line in sorted(found, key=lambda line: str(line.get('time'))):
-        click.echo(_told(line))
+    for line in sorted(matching, key=lambda line: str(line.get('time'))):
+        click.echo(_format_log_line(line))
 
 
-def _log_lines(path: str) -> t.Iterator[dict[str, t.Any]]:
+def _read_log_lines(path: str) -> t.Iterator[dict[str, t.Any]]:
     try:
         with open(path, encoding='utf-8', errors='replace') as file:
             for text in file:
@@ -307,7 +311,7 @@
         ) from error
 
 
-def _told(line: dict[str, t.Any]) -> str:
+def _format_log_line(line: dict[str, t.Any]) -> str:
     shown = ('time', 'process', 'message')
     hidden = {*shown, 'level', 'decision', 'request'}
     head = ' '.join(str(line.get(name, '')) for name in shown)
@@ -315,7 +319,7 @@
     return f'{head}: {" ".join(fields)}'
 
 
-def _http(
+def _send_request(
     method: str,
     address: str,
     path: str,
@@ -334,7 +338,9 @@
         key = settings.read_key(key_file)
         request.add_header('Authorization', f'Bearer {key}')
     try:
-        with urllib.request.urlopen(request, timeout=REQUEST_S) as response:
+        with urllib.request.urlopen(
+            request, timeout=REQUEST_TIMEOUT_S
+        ) as response:
             return response.status, response.read()
     except urllib.error.HTTPError as error:
         content = error.read()
--- a/tests/platform/test_layout.py
+++ b/tests/platform/test_layout.py
@@ -12,7 +12,7 @@
 
 
 def test_wire_names_of_the_platform_stay_in_its_folder():
-    found = [
+    matches = [
         f'{path.relative_to(ROOT)}:{number}'
         for folder in ('src', 'tests', 'bench', 'examples')
         for path in sorted((ROOT / folder).rglob('*.py'))
@@ -20,8 +20,8 @@
         for number, line in enumerate(path.read_text().splitlines(), 1)
         if WIRE_NAMES.search(line)
     ]
-    assert found == []
+    assert matches == []
 
 
-def test_the_folder_cannot_hide_the_standard_module():
+def test_platform_folder_does_not_shadow_the_standard_library():
     assert not (ROOT / 'platform' / '__init__.py').exists()
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -16,18 +16,18 @@
 
 
 @pytest.fixture
-def log(tmp_path):
+def log_path(tmp_path):
     path = tmp_path / 'entry.log'
     path.write_text('\n'.join(LINES))
     return str(path)
 
 
-def run(*words):
-    return testing.CliRunner().invoke(cli.main, ['explain', *words])
+def run_explain(*args):
+    return testing.CliRunner().invoke(cli.main, ['explain', *args])
 
 
-def test_lines_of_one_request_are_told_in_order(log):
-    result = run('r-1', log)
+def test_lines_of_one_request_are_printed_in_time_order(log_path):
+    result = run_explain('r-1', log_path)
     assert result.exit_code == 0
     assert result.output.splitlines() == [
         'T1 e2 stream placed: engine=i-7',
@@ -35,8 +35,8 @@
     ]
 
 
-def test_an_unknown_request_and_an_unreadable_file_are_one_line(log):
-    for words in (('r-9', log), ('r-1', log + '.gone')):
-        result = run(*words)
+def test_unknown_request_or_unreadable_file_fails_with_one_line(log_path):
+    for args in (('r-9', log_path), ('r-1', log_path + '.gone')):
+        result = run_explain(*args)
         assert result.exit_code == 1
         assert len(result.output.splitlines()) == 1
