--- a/tests/platform/test_fuzzing.py
+++ b/tests/platform/test_fuzzing.py
@@ -152,9 +152,9 @@
 @hypothesis.given(BODY | DEEPLY_NESTED)
 def test_cache_response_is_decoded_or_rejected(body):
     engines = _engines.PlatformEngineDialect()
-    for read in (engines.read_parts, engines.read_copy):
+    for decode in (engines.read_parts, engines.read_copy):
         try:
-            read(body)
+            decode(body)
         except errors.BackendError as error:
             assert str(error)
 
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -290,14 +290,14 @@
 """
 
 
-def load(tmp_path, text=SETTINGS):
+def load_settings(tmp_path, text=SETTINGS):
     path = tmp_path / 'local.toml'
     path.write_text(text)
     return _settings.load(str(path))
 
 
 def test_only_the_first_seed_bootstraps_the_log(tmp_path):
-    node = load(tmp_path)
+    node = load_settings(tmp_path)
     assert node.bootstraps
     control = node.control()
     assert control.name == '10-1-0-19' and control.founds
@@ -307,7 +307,9 @@
         '10.3.0.3:7341',
     ]
     assert control.voters == 3
-    second = load(tmp_path, SETTINGS.replace('ip = "10.1.', 'ip = "10.2.'))
+    second = load_settings(
+        tmp_path, SETTINGS.replace('ip = "10.1.', 'ip = "10.2.')
+    )
     assert not second.bootstraps
 
 
@@ -321,7 +323,7 @@
 def test_other_instances_join_and_never_bootstrap(tmp_path, text):
     # An instance that lost its disk, or replaces another one, must not found
     # a second log beside the one that holds what was acknowledged.
-    node = load(tmp_path, text)
+    node = load_settings(tmp_path, text)
     assert not node.bootstraps
     assert list(node.control().replicas) == [node.control().name]
     assert len(node.control().contacts) == 3
@@ -329,7 +331,7 @@
 
 def test_voter_count_covers_the_tolerated_failures(tmp_path):
     text = SETTINGS.replace('machines = 1', 'machines = 2')
-    assert load(tmp_path, text).control().voters == 5
+    assert load_settings(tmp_path, text).control().voters == 5
 
 
 @pytest.mark.parametrize(
@@ -343,6 +345,6 @@
 )
 def test_invalid_settings_are_reported_on_one_line(tmp_path, text, expected):
     with pytest.raises(errors.SettingsError) as exc_info:
-        load(tmp_path, text)
+        load_settings(tmp_path, text)
     assert expected in str(exc_info.value)
     assert '\n' not in str(exc_info.value)
--- a/tests/test_backend_connections.py
+++ b/tests/test_backend_connections.py
@@ -17,7 +17,7 @@
 UNFRAMED_RESPONSE = b'HTTP/1.1 200 OK\r\n\r\nhalf'
 
 
-class PlainDialect(calls.EngineDialect):
+class StubDialect(calls.EngineDialect):
     def request_headers(self, call, attempt):
         return [*call.headers, ('Host', call.host)]
 
@@ -85,7 +85,7 @@
 
 @pytest_asyncio.fixture
 async def client():
-    created = web.HttpBackendClient(PlainDialect())
+    created = web.HttpBackendClient(StubDialect())
     yield created
     await created.close()
 
