--- a/src/bulrushhold/web/__init__.py
+++ b/src/bulrushhold/web/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters over HTTP: callers, backend servers, the platform's list."""
+"""HTTP adapters for callers, backend servers and the platform's list."""
 
 from bulrushhold.web._backends import HttpBackendClient
 from bulrushhold.web._connections import make_session
--- a/src/bulrushhold/web/_backends.py
+++ b/src/bulrushhold/web/_backends.py
@@ -1,4 +1,4 @@
-"""Sends opaque requests to backend servers over HTTP."""
+"""Forwards opaque requests to backend servers over HTTP."""
 
 import asyncio
 import typing as t
@@ -11,12 +11,11 @@
 from bulrushhold import errors
 from bulrushhold.web import _connections
 
-# A path of 3 ms and a handshake of 1 ms leave a wide margin; a lost opening
-# packet is sent again only after a second, and another server is closer.
+# Shorter than TCP's first SYN retransmission after 1 s: trying another server
+# is faster than waiting for it.
 CONNECT_TIMEOUT_S: t.Final = 0.25
-# Backend servers close idle connections after a time of their own; a request
-# that crosses that close may be lost. Under load a connection is seldom idle
-# for longer than this.
+# A request sent while the backend server closes the idle connection may be
+# lost, so idle connections are closed here first.
 KEEPALIVE_TIMEOUT_S: t.Final = 1.0
 _SKIPPED_AUTO_HEADERS: t.Final = (
     'User-Agent',
@@ -55,9 +54,9 @@
 
 
 class HttpBackendClient(calls.BackendClient):
-    """One session that keeps connections, and one that doesn't.
+    """Forwards calls on pooled connections, or on new ones on demand.
 
-    :param dialect: the headers that backend servers understand.
+    :param dialect: the protocol of the backend servers.
     """
 
     def __init__(self, dialect: calls.EngineDialect) -> None:
@@ -98,7 +97,7 @@
         return _HttpBackendAnswer(head, response, attempt.address)
 
     async def alive(self, address: str, timeout: float) -> bool:
-        """Ask a model engine for its report."""
+        """Request a model engine's status report as a health check."""
         url = yarl.URL(f'http://{address}{self.dialect.probe_path()}')
         try:
             async with asyncio.timeout(timeout):
@@ -111,7 +110,7 @@
             return False
 
     async def parts_kept(self, address: str, timeout: float) -> frozenset[str]:
-        """Ask an engine what it keeps; see :class:`calls.BackendClient`."""
+        """List cached prompt segments; see :class:`calls.BackendClient`."""
         url = yarl.URL(f'http://{address}{self.dialect.parts_path()}')
         try:
             async with asyncio.timeout(timeout):
@@ -127,7 +126,7 @@
     async def copy_run(
         self, call: calls.Call, source: str, target: str, timeout: float
     ) -> calls.RunCopy:
-        """Order a copy; see :meth:`calls.BackendClient.copy_run`."""
+        """Request a copy; see :meth:`calls.BackendClient.copy_run`."""
         path, body = self.dialect.copy_order(call, target)
         try:
             async with asyncio.timeout(timeout):
@@ -145,16 +144,16 @@
         return calls.RunCopy(source, self.dialect.read_copy(answer))
 
     async def drop_copy(self, copy: calls.RunCopy, timeout: float) -> None:
-        """Free a copy; see :meth:`calls.BackendClient.drop_copy`."""
+        """Delete a copy; see :meth:`calls.BackendClient.drop_copy`."""
         url = f'http://{copy.address}{self.dialect.drop_path(copy)}'
         try:
             async with asyncio.timeout(timeout):
                 async with self.unpooled.delete(url) as response:
                     await response.read()
         except (TimeoutError, *_HTTP_ERRORS) as error:
-            # The engine frees it by itself some seconds later.
+            # Not retried: the engine expires the copy by itself.
             loguru.logger.bind(peer=copy.address, error=str(error)).debug(
-                'copy not dropped'
+                'failed to delete KV cache copy'
             )
 
     async def close(self) -> None:
--- a/src/bulrushhold/web/_connections.py
+++ b/src/bulrushhold/web/_connections.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers that can't be trusted to keep to HTTP."""
+"""HTTP client connections that tolerate misbehaving backend servers."""
 
 import functools
 import typing as t
@@ -8,15 +8,15 @@
 
 
 class _StrictResponseHandler(client_proto.ResponseHandler):
-    """Closes a connection on which more comes than was asked for.
+    """Closes a connection that receives data after a complete response.
 
-    A faulty backend server may send a second answer after a whole one.
-    On a kept connection it would be taken for the answer to the next
-    request, and a caller would get somebody else's.
+    A faulty backend server may send a second response. On a pooled
+    connection it would be read as the response to the next request, and
+    reach the wrong caller.
     """
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of the awaited answer, and none after it."""
+        """Process response data; abort if the response is already complete."""
         payload = self._payload
         if payload is not None and payload.is_eof() and self.transport:
             self.force_close()
@@ -25,10 +25,10 @@
         super().data_received(data)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End an answer without a length only where its sender ended it.
+        """Fail a response without a length if the connection was reset.
 
-        Such an answer ends with its connection; a reset would look the
-        same, and half an answer would go out as a whole one.
+        Such a response ends when the connection closes. Without this
+        check, a reset would make a truncated response look complete.
         """
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
@@ -39,10 +39,10 @@
 
 
 class StrictConnector(aiohttp.TCPConnector):
-    """Makes guarded connections, without a limit to their number.
+    """Creates strict connections, without limiting their number.
 
-    A limit would hold back requests as if backend servers were slow; how
-    many go to each is decided before.
+    Concurrency is limited by admission control. A limit here would add
+    queueing that looks like slow backend servers.
     """
 
     def __init__(self, **options: t.Any) -> None:
@@ -53,7 +53,7 @@
 
 
 def make_session(**connector_options: t.Any) -> aiohttp.ClientSession:
-    """Return a session that sends each request once, as it is given."""
+    """Return a session that sends each request unchanged and only once."""
     session = aiohttp.ClientSession(
         connector=StrictConnector(**connector_options),
         auto_decompress=False,
@@ -62,7 +62,7 @@
         max_line_size=16384,
         max_field_size=16384,
     )
-    # aiohttp sends a GET again by itself when a kept connection breaks;
-    # whether a request may be repeated isn't told by its method.
+    # aiohttp retries idempotent methods when a pooled connection breaks, but
+    # here the method doesn't tell whether a request may be repeated.
     session._retry_connection = False
     return session
--- a/src/bulrushhold/web/_engine.py
+++ b/src/bulrushhold/web/_engine.py
@@ -1,4 +1,4 @@
-"""Model engines over HTTP, with tokens as server-sent events."""
+"""HTTP client for model engines, with tokens as server-sent events."""
 
 import asyncio
 import collections.abc as cabc
@@ -25,7 +25,7 @@
     ConnectionError,
     asyncio.TimeoutError,
 )
-# No byte of a request can have left.
+# Errors raised before any byte of the request was sent.
 _CONNECT_ERRORS: t.Final = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
@@ -33,7 +33,7 @@
 
 
 class HttpEngineClient(ports.EngineClient):
-    """Speaks the completions protocol with request and attempt numbers.
+    """Client of the completions API, with request and attempt ids.
 
     :param session: shared by all adapters of the process.
     """
@@ -51,7 +51,7 @@
         order: ports.Generate,
         take: cabc.Callable[[ports.Event], bool],
     ) -> None:
-        """Give the engine's events to ``take`` until it has enough."""
+        """Pass events to ``on_event`` until it returns ``False``."""
         response = await self._send_request(address, order)
         read_chunk = response.content.readany
         pending = b''
@@ -72,15 +72,15 @@
                 f'malformed event: {error}', 'stream', address
             ) from error
         finally:
-            # Never back to the pool: what is left of a stream that was
-            # given up on would answer the next request.
+            # Never return the connection to the pool: the rest of an
+            # abandoned stream would be read as the next response.
             response.close()
         raise errors.EngineLostError(
-            'the stream ended without its end mark', 'stream', address
+            'stream ended without a final event', 'stream', address
         )
 
     async def cancel(self, address: str, request: str, attempt: int) -> None:
-        """Tell the engine to stop an attempt."""
+        """Ask the engine to stop an attempt; ignore errors."""
         body = {'request': request, 'attempt': attempt}
         try:
             async with self.session.post(
@@ -93,14 +93,14 @@
             return
 
     async def alive(self, address: str) -> bool:
-        """Whether anything accepts connections there."""
+        """Return whether the address accepts connections."""
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(
                     *address.rsplit(':', 1)
                 )
         except TimeoutError:
-            # Frozen or far, but not known to be dead.
+            # Slow or unreachable, but not proven to be dead.
             return True
         except OSError:
             return False
--- a/src/bulrushhold/web/_ingress.py
+++ b/src/bulrushhold/web/_ingress.py
@@ -1,4 +1,4 @@
-"""Takes callers' opaque requests over HTTP."""
+"""HTTP server that accepts callers' opaque requests."""
 
 import asyncio
 import collections.abc as cabc
@@ -11,10 +11,10 @@
 from bulrushhold import calls
 from bulrushhold import errors
 
-# Callers decide how long to keep an idle connection; closing it first could
-# cross a request, which would be lost unseen.
+# Long, so that callers close idle connections first: a request sent while the
+# server closes the connection would be lost.
 KEEPALIVE_TIMEOUT_S: t.Final = 3600.0
-# What is still in progress when the port closes has had its time.
+# Short: requests were drained before the server shuts down.
 SHUTDOWN_TIMEOUT_S: t.Final = 0.2
 MAX_BODY_BYTES: t.Final = 64 << 20
 MAX_FIELD_BYTES: t.Final = 65536
@@ -54,7 +54,8 @@
         await self.response.write_eof()
 
     def cut(self) -> None:
-        # What is written goes out, the end mark of the body doesn't.
+        # Flushes written data but omits the final chunk, so that the caller
+        # detects the truncated body.
         if self.request.transport is not None:
             self.request.transport.close()
 
@@ -62,7 +63,7 @@
 class Ingress:
     """The HTTP server for callers.
 
-    :param handle: gives a reply, or ``None`` where it used the stream.
+    :param handle: returns a reply, or ``None`` if it wrote to the stream.
     """
 
     def __init__(self, handle: Handler, dialect: calls.CallerDialect) -> None:
@@ -81,7 +82,7 @@
         )
 
     async def start(self, host: str, port: int) -> None:
-        """Open the port."""
+        """Start listening."""
         self.runner = web.ServerRunner(
             self.server, shutdown_timeout=SHUTDOWN_TIMEOUT_S
         )
@@ -89,7 +90,7 @@
         await web.TCPSite(self.runner, host, port, backlog=1024).start()
 
     async def close(self) -> None:
-        """Close the port and all connections."""
+        """Stop listening and close all connections."""
         await self.runner.cleanup()
 
     async def _on_request(self, request: web.BaseRequest) -> t.Any:
--- a/src/bulrushhold/web/_metrics.py
+++ b/src/bulrushhold/web/_metrics.py
@@ -1,4 +1,4 @@
-"""Serves a process's figures to whoever collects them."""
+"""Serves a process's metrics over HTTP."""
 
 from aiohttp import web
 
@@ -8,7 +8,7 @@
 
 
 def metrics_application(metrics: node.ServedMetrics) -> web.Application:
-    """Return the application that answers with all figures as text."""
+    """Return the application with the Prometheus metrics endpoint."""
 
     async def handle_metrics(request: web.Request) -> web.Response:
         del request
--- a/src/bulrushhold/web/_platform.py
+++ b/src/bulrushhold/web/_platform.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances and backend servers, over HTTP."""
+"""Fetches the platform's list of instances and backend servers."""
 
 import asyncio
 
@@ -12,10 +12,10 @@
 
 
 class HttpPlatformList(ports.PlatformList):
-    """Asks for the list, and gets it only when it has changed.
+    """Fetches the list with conditional requests.
 
-    With 600 engines the list is tens of kilobytes; asked for each second
-    without its entity tag, it alone would break the traffic budget.
+    The list is large and polled often; an ETag avoids transferring it
+    when it hasn't changed.
     """
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
@@ -24,7 +24,7 @@
         self.etag = ''
 
     async def fetch(self) -> ports.Platform | None:
-        """Return the list, or ``None`` where it hasn't changed."""
+        """Return the list, or ``None`` if it hasn't changed."""
         headers = {'If-None-Match': self.etag} if self.etag else {}
         try:
             async with self.session.get(
--- a/src/bulrushhold/web/_service.py
+++ b/src/bulrushhold/web/_service.py
@@ -1,4 +1,4 @@
-"""Plain services over HTTP."""
+"""HTTP client for plain services."""
 
 import asyncio
 import typing as t
@@ -14,7 +14,7 @@
 
 
 class HttpServiceClient(ports.ServiceClient):
-    """Calls a service once, and checks which call its answer is for."""
+    """Sends each request once and verifies the id in its response."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self.session = session
@@ -22,13 +22,13 @@
     async def call(
         self, address: str, call: ports.ServiceCall
     ) -> ports.ServiceAnswer:
-        """Make one call and return its answer."""
+        """Send one request and return its response."""
         url = f'http://{address}{call.path}'
         if call.query:
             url = f'{url}?{call.query}'
         try:
-            # A new connection each: on a pooled one that the service has
-            # just closed, it can't be told whether the call had left.
+            # A new connection for each request: if the service closes a
+            # pooled one, it is unknown whether the request was received.
             async with self.session.request(
                 call.method,
                 url,
@@ -50,7 +50,7 @@
             ) from error
         except aiohttp.ConnectionTimeoutError as error:
             raise errors.BackendError(
-                'no connection in time', 'connect', address
+                'connection timed out', 'connect', address
             ) from error
         except (
             aiohttp.ClientError,
@@ -69,14 +69,16 @@
     if response_id != call.request:
         response.close()
         raise errors.BackendError(
-            f'the answer is for request {response_id!r}', 'call', address
+            f'response is for request {response_id!r}', 'call', address
         )
     body = await response.content.read(MAX_RESPONSE_BYTES + 1)
     while len(body) <= MAX_RESPONSE_BYTES and not response.content.at_eof():
         body += await response.content.read(MAX_RESPONSE_BYTES + 1 - len(body))
     if len(body) > MAX_RESPONSE_BYTES:
         response.close()
-        raise errors.BackendError('the answer is too large', 'call', address)
+        raise errors.BackendError(
+            'response body is too large', 'call', address
+        )
     return ports.ServiceAnswer(
         response.status,
         body,
