--- a/src/bulrushhold/cli.py
+++ b/src/bulrushhold/cli.py
@@ -1,4 +1,4 @@
-"""The command line: daemons and operators' commands."""
+"""Command line: runs the daemons and the operator commands."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 
 class _ErrorHandlingGroup(click.Group):
-    """Turns the project's errors into one line and exit status 1."""
+    """Prints expected errors on one line and exits with status 1."""
 
     def invoke(self, ctx: click.Context) -> t.Any:
         """Run the command."""
@@ -35,7 +35,7 @@
 @click.group(cls=_ErrorHandlingGroup)
 @click.version_option(bulrushhold.__version__, prog_name='bulrushhold')
 def main() -> None:
-    """Serves long generations on engines that fail."""
+    """Serve long generations on engines that may fail."""
 
 
 def _settings_option(function: t.Any) -> t.Any:
@@ -50,7 +50,7 @@
 
 def _log_level_option(function: t.Any) -> t.Any:
     return click.option(
-        '--log-level', default='INFO', help='Least level that is logged.'
+        '--log-level', default='INFO', help='Minimum level to log.'
     )(function)
 
 
@@ -84,10 +84,10 @@
 @main.command('control-found')
 @_settings_option
 def bootstrap_control(path: str) -> None:
-    """Found a new log: once, on each first control instance.
+    """Bootstrap a new log, once on each initial control instance.
 
-    Never on an instance whose disk was lost: started with an empty data
-    folder, it joins by itself.
+    Don't run it on an instance that lost its disk: with an empty data
+    folder, that instance joins the existing log.
     """
     from bulrushhold import control
     from bulrushhold import node
@@ -104,9 +104,9 @@
 @settings_group.command('check')
 @click.argument('path', type=_FILE_PATH)
 def check_settings(path: str) -> None:
-    """Check a settings file of either daemon."""
+    """Validate a settings file of either daemon."""
     config = settings.load_any(path)
-    click.echo(f'{path}: good settings of {config.name}')
+    click.echo(f'{path}: valid settings of {config.name}')
 
 
 def _entry_option(function: t.Any) -> t.Any:
@@ -139,7 +139,7 @@
 @_key_option
 @click.argument('path', type=_FILE_PATH)
 def pull(address: str, key_file: str, path: str) -> None:
-    """Write the table to a CSV file, to be edited and pushed."""
+    """Write the table to a CSV file for editing."""
     _, body = _send_request('GET', address, '/v1/table', key_file)
     pathlib.Path(path).write_bytes(body)
 
@@ -157,7 +157,7 @@
 @_entry_option
 @_key_option
 def history(address: str, key_file: str) -> None:
-    """Print the last edits, newest first."""
+    """Print recent edits, newest first."""
     _, body = _send_request('GET', address, '/v1/table/history', key_file)
     for item in json.loads(body):
         edited_at = time.strftime('%Y-%m-%d %H:%M:%S', time.gmtime(item['at']))
@@ -169,10 +169,14 @@
 @table_group.command('push')
 @_entry_option
 @_key_option
-@click.option('--edit-id', default='', help='Names the edit, for a resend.')
+@click.option(
+    '--edit-id', default='', help='Idempotency key, to retry a push.'
+)
 @click.option('--author', default=lambda: os.environ.get('USER', ''))
-@click.option('--wait', is_flag=True, help='Until in force everywhere.')
-@click.option('--wait-s', default=30.0, help='Seconds to wait at most.')
+@click.option(
+    '--wait', is_flag=True, help='Wait until all instances apply it.'
+)
+@click.option('--wait-s', default=30.0, help='Maximum wait in seconds.')
 @click.argument('path', type=_FILE_PATH)
 def push(
     address: str,
@@ -183,7 +187,7 @@
     wait_s: float,
     path: str,
 ) -> None:
-    """Push an edited CSV file: all of it is taken, or nothing."""
+    """Push an edited CSV file; all changes apply, or none."""
     import uuid_utils
 
     edit_id = edit_id or str(uuid_utils.uuid7())
@@ -250,13 +254,13 @@
 
 @main.group('quarantine')
 def quarantine_group() -> None:
-    """See and lift the quarantine of contents that kill engines."""
+    """Show and lift the quarantine of poison requests."""
 
 
 @quarantine_group.command('show')
 @_entry_option
 def show_quarantine(address: str) -> None:
-    """Print the fingerprints that are refused."""
+    """Print the quarantined fingerprints."""
     _, body = _send_request('GET', address, '/v1/status')
     for fingerprint in json.loads(body)['quarantined']:
         click.echo(fingerprint)
@@ -267,7 +271,7 @@
 @_key_option
 @click.argument('fingerprint')
 def lift_quarantine(address: str, key_file: str, fingerprint: str) -> None:
-    """Let a content run again."""
+    """Allow a quarantined request to run again."""
     _send_request('DELETE', address, f'/v1/quarantine/{fingerprint}', key_file)
 
 
@@ -275,10 +279,10 @@
 @click.argument('request_id')
 @click.argument('files', nargs=-1, required=True, type=_FILE_PATH)
 def explain(request_id: str, files: tuple[str, ...]) -> None:
-    """Print what the logs in FILES say of one request, in order.
+    """Print the log records of one request from FILES, in time order.
 
-    FILES hold JSON lines of any number of processes; other text before
-    the JSON of a line is passed over.
+    FILES hold JSON lines of any number of processes. Text before the
+    JSON object of a line is ignored.
     """
     matching = [
         line
@@ -288,7 +292,9 @@
     ]
     if not matching:
         raise errors.BulrushholdError(
-            f'no line names {request_id}', 'explain', ', '.join(files)
+            f'no log record of request {request_id}',
+            'explain',
+            ', '.join(files),
         )
     for line in sorted(matching, key=lambda line: str(line.get('time'))):
         click.echo(_format_log_line(line))
@@ -301,7 +307,7 @@
                 try:
                     line = json.loads(text[text.index('{') :])
                 except ValueError:
-                    # Not a log line, or one that was cut off.
+                    # Not a log record, or a truncated one.
                     continue
                 if isinstance(line, dict):
                     yield line
@@ -326,8 +332,8 @@
     key_file: str = '',
     body: bytes | None = None,
 ) -> tuple[int, bytes]:
-    """Make one request of an entry; answers to edits may be refusals."""
-    # Here, since the daemons share this module and need no HTTP client.
+    """Send one request to an entry; raise on HTTP errors except for POST."""
+    # Imported here because the daemons share this module and don't use it.
     import urllib.error
     import urllib.request
 
