--- a/tests/platform/test_fuzzing.py
+++ b/tests/platform/test_fuzzing.py
@@ -1,7 +1,7 @@
-"""What comes from outside, malformed: one clear error, and nothing else.
+"""Fuzz tests of all decoders of external input.
 
-Each target plays some hundred examples here, the same ones in every run;
-``FUZZ_EXAMPLES=10000`` plays as many new ones by hand.
+Malformed input must raise the documented error and no other. Each run
+uses the same examples; ``FUZZ_EXAMPLES=10000`` runs as many random ones.
 """
 
 import asyncio
--- a/tests/platform/test_layout.py
+++ b/tests/platform/test_layout.py
@@ -1,4 +1,4 @@
-"""The platform's words stay in its folder."""
+"""Tests that the platform's protocol is confined to its folder."""
 
 import pathlib
 import re
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -1,9 +1,4 @@
-"""Two short seeds of the soak in each run, and all that ever failed.
-
-No seed of the final checks has failed so far. The first run of all broke
-every check of plain answers, because the soak's own client rewrote the
-targets that it asked for.
-"""
+"""Short soak runs with fixed seeds; add each seed that fails."""
 
 import pytest
 
@@ -17,9 +12,9 @@
 async def test_guarantees_hold_while_processes_and_connections_fail(
     tmp_path, seed
 ):
-    # Callers, an operator and engines see only whole answers of their own,
-    # at most one run of what may run once, true refusals, and no older map
-    # than was acknowledged; afterwards all is served again.
+    # Guards against mixed-up or truncated responses, duplicate runs of
+    # non-idempotent requests, false refusals, loss of an acknowledged route
+    # map, and requests that still fail after the faults have ended.
     with system.Network() as network:
         report = await run.Run(
             seed, tmp_path, network.number, DURATION_S
@@ -29,6 +24,6 @@
 
 
 def test_concurrent_runs_use_separate_networks():
-    """Guards against two runs whose processes share addresses."""
+    """Guards against concurrent runs that bind the same addresses."""
     with system.Network() as one, system.Network() as other:
         assert one.number != other.number
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -1,4 +1,4 @@
-"""The platform's words, decoded once and given back."""
+"""Tests of the adapter between the platform's protocols and ours."""
 
 import json
 
@@ -140,7 +140,7 @@
     assert name in exc_info.value.reason
 
 
-# Operators' documents
+# Route map documents
 
 DOCUMENT = {
     'config-version': 7,
@@ -233,7 +233,7 @@
         _operators.read_document(data)
 
 
-# The list
+# Backend list
 
 ITEM = {
     'id': 'i-1',
@@ -321,8 +321,8 @@
     ],
 )
 def test_other_instances_join_and_never_bootstrap(tmp_path, text):
-    # An instance that lost its disk, or replaces another one, must not found
-    # a second log beside the one that holds what was acknowledged.
+    # An instance that lost its disk or replaces another must not bootstrap a
+    # second log: acknowledged writes would be lost.
     node = load_settings(tmp_path, text)
     assert not node.bootstraps
     assert list(node.control().replicas) == [node.control().name]
--- a/tests/test_backend_connections.py
+++ b/tests/test_backend_connections.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers that don't keep to HTTP."""
+"""Tests of connections to backend servers that violate HTTP."""
 
 import asyncio
 import socket
@@ -45,7 +45,7 @@
 
 @attrs.define
 class ScriptedServer:
-    """Answers each request as told, byte for byte."""
+    """Answers each request with the next of the given byte strings."""
 
     responses: list = attrs.field(factory=list)
     requests: list = attrs.field(factory=list)
@@ -101,8 +101,8 @@
 async def test_extra_response_is_not_used_for_the_next_request(
     client, server, late
 ):
-    # A faulty server sends two answers to one request, at once or a moment
-    # later. The next caller on that connection must not get the second.
+    # A faulty server sends two responses to one request, at once or a moment
+    # later. The second must not reach the next caller on that connection.
     server.responses = [
         RESPONSE if late else RESPONSE + EXTRA_RESPONSE,
         RESPONSE,
@@ -117,8 +117,8 @@
 async def test_response_without_length_is_complete_only_after_a_clean_close(
     client, server
 ):
-    # It ends with its connection; a reset looks alike, and half an answer
-    # would go out as a whole one.
+    # Guards against forwarding a truncated response as complete: without a
+    # length, a reset looks like the end of the body.
     server.responses = [UNFRAMED_RESPONSE, UNFRAMED_RESPONSE]
     server.after_response = 'close'
     assert await send_request(client, server) == b'half'
@@ -129,8 +129,8 @@
 
 
 async def test_get_is_not_retried_by_the_http_library(client, server):
-    # Whether a request may be repeated isn't told by its method: a booking
-    # may be a GET. The library would repeat it on a new connection.
+    # aiohttp would repeat a GET on a new connection, but a GET may have side
+    # effects here.
     server.responses = [RESPONSE, b'', RESPONSE]
     assert await send_request(client, server) == b'mine'
     server.after_response = 'close'
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""From a request's id to what became of it, by the logs alone."""
+"""Tests of the ``explain`` command."""
 
 from click import testing
 import pytest
