--- a/src/bulrushhold/web/_connections.py
+++ b/src/bulrushhold/web/_connections.py
@@ -1,4 +1,4 @@
-"""HTTP client connections that tolerate misbehaving backend servers."""
+"""HTTP client connections hardened against faulty backend servers."""
 
 import functools
 import typing as t
