--- a/src/bulrushhold/web/_backends.py
+++ b/src/bulrushhold/web/_backends.py
@@ -1,4 +1,4 @@
-"""Sends opaque requests to backend servers over HTTP."""
+"""Forwards opaque requests to backend servers over HTTP."""
 
 import asyncio
 import typing as t
@@ -11,18 +11,22 @@
 from bulrushhold import errors
 from bulrushhold.web import _connections
 
-# A path of 3 ms and a handshake of 1 ms leave a wide margin; a lost opening
-# packet is sent again only after a second, and another server is closer.
-CONNECT_S: t.Final = 0.25
-# Backend servers close idle connections after a time of their own; a request
-# that crosses that close may be lost. Under load a connection is seldom idle
-# for longer than this.
-IDLE_S: t.Final = 1.0
-_SKIPPED: t.Final = ('User-Agent', 'Accept', 'Accept-Encoding', 'Content-Type')
-_LOST: t.Final = (aiohttp.ClientError, OSError, ValueError)
-
-
-class _HttpAnswer(calls.BackendAnswer):
+# Shorter than TCP's first SYN retransmission after 1 s: trying another server
+# is faster than waiting for it.
+CONNECT_TIMEOUT_S: t.Final = 0.25
+# A request sent while the backend server closes the idle connection may be
+# lost, so idle connections are closed here first.
+KEEPALIVE_TIMEOUT_S: t.Final = 1.0
+_SKIPPED_AUTO_HEADERS: t.Final = (
+    'User-Agent',
+    'Accept',
+    'Accept-Encoding',
+    'Content-Type',
+)
+_HTTP_ERRORS: t.Final = (aiohttp.ClientError, OSError, ValueError)
+
+
+class _HttpBackendAnswer(calls.BackendAnswer):
     def __init__(
         self,
         head: calls.AnswerHead,
@@ -36,35 +40,37 @@
     async def chunk(self) -> bytes:
         try:
             return await self.response.content.readany()
-        except _LOST as error:
-            raise _lost(error, 'answer', self.address) from error
+        except _HTTP_ERRORS as error:
+            raise _to_backend_error(error, 'answer', self.address) from error
 
     async def body(self) -> bytes:
         try:
             return await self.response.read()
-        except _LOST as error:
-            raise _lost(error, 'answer', self.address) from error
+        except _HTTP_ERRORS as error:
+            raise _to_backend_error(error, 'answer', self.address) from error
 
     def close(self) -> None:
         self.response.close()
 
 
 class HttpBackendClient(calls.BackendClient):
-    """One session that keeps connections, and one that doesn't.
+    """Forwards calls on pooled connections, or on new ones on demand.
 
-    :param dialect: the headers that backend servers understand.
+    :param dialect: the protocol of the backend servers.
     """
 
     def __init__(self, dialect: calls.EngineDialect) -> None:
         self.dialect = dialect
-        self.kept = _connections.make_session(keepalive_timeout=IDLE_S)
-        self.fresh = _connections.make_session(force_close=True)
+        self.pooled = _connections.make_session(
+            keepalive_timeout=KEEPALIVE_TIMEOUT_S
+        )
+        self.unpooled = _connections.make_session(force_close=True)
 
     async def send(
         self, call: calls.Call, attempt: calls.Attempt
     ) -> calls.BackendAnswer:
         """Send a call; see :meth:`calls.BackendClient.send`."""
-        session = self.fresh if attempt.fresh else self.kept
+        session = self.unpooled if attempt.fresh else self.pooled
         url = yarl.URL(f'http://{attempt.address}{call.target}', encoded=True)
         try:
             response = await session.request(
@@ -73,44 +79,46 @@
                 headers=self.dialect.request_headers(call, attempt),
                 data=call.body or None,
                 allow_redirects=False,
-                skip_auto_headers=_SKIPPED,
+                skip_auto_headers=_SKIPPED_AUTO_HEADERS,
                 timeout=aiohttp.ClientTimeout(
-                    total=None, sock_connect=CONNECT_S
+                    total=None, sock_connect=CONNECT_TIMEOUT_S
                 ),
             )
         except (
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
         ) as error:
-            raise _lost(error, 'connect', attempt.address) from error
-        except _LOST as error:
-            raise _lost(error, 'send', attempt.address) from error
+            raise _to_backend_error(
+                error, 'connect', attempt.address
+            ) from error
+        except _HTTP_ERRORS as error:
+            raise _to_backend_error(error, 'send', attempt.address) from error
         head = self.dialect.read_head(call, response.status, response.headers)
-        return _HttpAnswer(head, response, attempt.address)
+        return _HttpBackendAnswer(head, response, attempt.address)
 
     async def alive(self, address: str, timeout: float) -> bool:
-        """Ask a model engine for its report."""
+        """Request a model engine's status report as a health check."""
         url = yarl.URL(f'http://{address}{self.dialect.probe_path()}')
         try:
             async with asyncio.timeout(timeout):
-                async with self.kept.get(
+                async with self.pooled.get(
                     url, timeout=aiohttp.ClientTimeout(total=None)
                 ) as response:
                     await response.read()
                     return response.status == 200
-        except (TimeoutError, *_LOST):
+        except (TimeoutError, *_HTTP_ERRORS):
             return False
 
     async def parts_kept(self, address: str, timeout: float) -> frozenset[str]:
-        """Ask an engine what it keeps; see :class:`calls.BackendClient`."""
+        """List cached prompt segments; see :class:`calls.BackendClient`."""
         url = yarl.URL(f'http://{address}{self.dialect.parts_path()}')
         try:
             async with asyncio.timeout(timeout):
-                async with self.kept.get(url) as response:
+                async with self.pooled.get(url) as response:
                     body = await response.read()
                     status = response.status
-        except (TimeoutError, *_LOST) as error:
-            raise _lost(error, 'parts', address) from error
+        except (TimeoutError, *_HTTP_ERRORS) as error:
+            raise _to_backend_error(error, 'parts', address) from error
         if status != 200:
             raise errors.BackendError(f'status {status}', 'parts', address)
         return self.dialect.read_parts(body)
@@ -118,43 +126,43 @@
     async def copy_run(
         self, call: calls.Call, source: str, target: str, timeout: float
     ) -> calls.RunCopy:
-        """Order a copy; see :meth:`calls.BackendClient.copy_run`."""
+        """Request a copy; see :meth:`calls.BackendClient.copy_run`."""
         path, body = self.dialect.copy_order(call, target)
         try:
             async with asyncio.timeout(timeout):
-                async with self.fresh.post(
+                async with self.unpooled.post(
                     yarl.URL(f'http://{source}{path}', encoded=True),
                     data=body,
                     headers={'Content-Type': 'application/json'},
                 ) as response:
                     answer = await response.read()
                     status = response.status
-        except (TimeoutError, *_LOST) as error:
-            raise _lost(error, 'copy', source) from error
+        except (TimeoutError, *_HTTP_ERRORS) as error:
+            raise _to_backend_error(error, 'copy', source) from error
         if status != 200:
             raise errors.BackendError(f'status {status}', 'copy', source)
         return calls.RunCopy(source, self.dialect.read_copy(answer))
 
     async def drop_copy(self, copy: calls.RunCopy, timeout: float) -> None:
-        """Free a copy; see :meth:`calls.BackendClient.drop_copy`."""
+        """Delete a copy; see :meth:`calls.BackendClient.drop_copy`."""
         url = f'http://{copy.address}{self.dialect.drop_path(copy)}'
         try:
             async with asyncio.timeout(timeout):
-                async with self.fresh.delete(url) as response:
+                async with self.unpooled.delete(url) as response:
                     await response.read()
-        except (TimeoutError, *_LOST) as error:
-            # The engine frees it by itself some seconds later.
+        except (TimeoutError, *_HTTP_ERRORS) as error:
+            # Not retried: the engine expires the copy by itself.
             loguru.logger.bind(peer=copy.address, error=str(error)).debug(
-                'copy not dropped'
+                'failed to delete KV cache copy'
             )
 
     async def close(self) -> None:
         """Close all connections."""
-        await self.kept.close()
-        await self.fresh.close()
+        await self.pooled.close()
+        await self.unpooled.close()
 
 
-def _lost(
+def _to_backend_error(
     error: BaseException, step: str, address: str
 ) -> errors.BackendError:
     reason = ' '.join(f'{type(error).__name__}: {error}'.split())
--- a/src/bulrushhold/web/_engine.py
+++ b/src/bulrushhold/web/_engine.py
@@ -1,4 +1,4 @@
-"""Model engines over HTTP, with tokens as server-sent events."""
+"""HTTP client for model engines, with tokens as server-sent events."""
 
 import asyncio
 import collections.abc as cabc
@@ -10,30 +10,30 @@
 from bulrushhold import errors
 from bulrushhold import ports
 
-CONNECT_S: t.Final = 1.0
-PROBE_S: t.Final = 0.3
+CONNECT_TIMEOUT_S: t.Final = 1.0
+PROBE_TIMEOUT_S: t.Final = 0.3
 RUNNING_HEADER: t.Final = 'X-Running'
 LEAVING_HEADER: t.Final = 'X-Leaving'
 FINAL_STATUSES: t.Final = frozenset((400, 413, 422))
-_DATA: t.Final = b'data: '
+_DATA_PREFIX: t.Final = b'data: '
 
 
-_EVENTS = msgspec.json.Decoder(ports.Event)
-_ENCODER = msgspec.json.Encoder()
-_BROKEN: t.Final = (
+_EVENT_DECODER = msgspec.json.Decoder(ports.Event)
+_REQUEST_ENCODER = msgspec.json.Encoder()
+_HTTP_ERRORS: t.Final = (
     aiohttp.ClientError,
     ConnectionError,
     asyncio.TimeoutError,
 )
-# No byte of a request can have left.
-_UNREACHED: t.Final = (
+# Errors raised before any byte of the request was sent.
+_CONNECT_ERRORS: t.Final = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
 )
 
 
 class HttpEngineClient(ports.EngineClient):
-    """Speaks the completions protocol with request and attempt numbers.
+    """Client of the completions API, with request and attempt ids.
 
     :param session: shared by all adapters of the process.
     """
@@ -41,7 +41,7 @@
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self.session = session
         self.timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=CONNECT_S
+            total=None, sock_connect=CONNECT_TIMEOUT_S
         )
         self.reports: dict[str, ports.LoadReport] = {}
 
@@ -51,19 +51,19 @@
         order: ports.Generate,
         take: cabc.Callable[[ports.Event], bool],
     ) -> None:
-        """Give the engine's events to ``take`` until it has enough."""
-        response = await self._open(address, order)
-        read = response.content.readany
+        """Pass events to ``on_event`` until it returns ``False``."""
+        response = await self._send_request(address, order)
+        read_chunk = response.content.readany
         pending = b''
         try:
-            while chunk := await read():
+            while chunk := await read_chunk():
                 *lines, pending = (pending + chunk).split(b'\n')
                 for line in lines:
-                    if line.startswith(_DATA) and not take(
-                        _EVENTS.decode(line[len(_DATA) :])
+                    if line.startswith(_DATA_PREFIX) and not take(
+                        _EVENT_DECODER.decode(line[len(_DATA_PREFIX) :])
                     ):
                         return
-        except _BROKEN as error:
+        except _HTTP_ERRORS as error:
             raise errors.EngineLostError(
                 str(error) or type(error).__name__, 'stream', address
             ) from error
@@ -72,56 +72,56 @@
                 f'malformed event: {error}', 'stream', address
             ) from error
         finally:
-            # Never back to the pool: what is left of a stream that was
-            # given up on would answer the next request.
+            # Never return the connection to the pool: the rest of an
+            # abandoned stream would be read as the next response.
             response.close()
         raise errors.EngineLostError(
-            'the stream ended without its end mark', 'stream', address
+            'stream ended without a final event', 'stream', address
         )
 
     async def cancel(self, address: str, request: str, attempt: int) -> None:
-        """Tell the engine to stop an attempt."""
+        """Ask the engine to stop an attempt; ignore errors."""
         body = {'request': request, 'attempt': attempt}
         try:
             async with self.session.post(
                 f'http://{address}/v1/cancel',
                 json=body,
-                timeout=aiohttp.ClientTimeout(total=CONNECT_S),
+                timeout=aiohttp.ClientTimeout(total=CONNECT_TIMEOUT_S),
             ):
                 pass
-        except _BROKEN:
+        except _HTTP_ERRORS:
             return
 
     async def alive(self, address: str) -> bool:
-        """Whether anything accepts connections there."""
+        """Return whether the address accepts connections."""
         try:
-            async with asyncio.timeout(PROBE_S):
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(
                     *address.rsplit(':', 1)
                 )
         except TimeoutError:
-            # Frozen or far, but not known to be dead.
+            # Slow or unreachable, but not proven to be dead.
             return True
         except OSError:
             return False
         writer.close()
         return True
 
-    async def _open(
+    async def _send_request(
         self, address: str, order: ports.Generate
     ) -> aiohttp.ClientResponse:
         try:
             response = await self.session.post(
                 f'http://{address}/v1/chat/completions',
-                data=_ENCODER.encode(order),
+                data=_REQUEST_ENCODER.encode(order),
                 headers={'Content-Type': 'application/json'},
                 timeout=self.timeout,
             )
-        except _UNREACHED as error:
+        except _CONNECT_ERRORS as error:
             raise errors.EngineLostError(
                 str(error), 'connect', address
             ) from error
-        except _BROKEN as error:
+        except _HTTP_ERRORS as error:
             raise errors.EngineLostError(
                 str(error) or type(error).__name__, 'dispatch', address
             ) from error
--- a/src/bulrushhold/web/_ingress.py
+++ b/src/bulrushhold/web/_ingress.py
@@ -1,4 +1,4 @@
-"""Takes callers' opaque requests over HTTP."""
+"""HTTP server that accepts callers' opaque requests."""
 
 import asyncio
 import collections.abc as cabc
@@ -11,24 +11,26 @@
 from bulrushhold import calls
 from bulrushhold import errors
 
-# Callers decide how long to keep an idle connection; closing it first could
-# cross a request, which would be lost unseen.
-IDLE_S: t.Final = 3600.0
-# What is still in progress when the port closes has had its time.
-CLOSE_S: t.Final = 0.2
+# Long, so that callers close idle connections first: a request sent while the
+# server closes the connection would be lost.
+KEEPALIVE_TIMEOUT_S: t.Final = 3600.0
+# Short: requests were drained before the server shuts down.
+SHUTDOWN_TIMEOUT_S: t.Final = 0.2
 MAX_BODY_BYTES: t.Final = 64 << 20
 MAX_FIELD_BYTES: t.Final = 65536
 
-Handle = cabc.Callable[
+Handler = cabc.Callable[
     [calls.Call, calls.CallerStream], cabc.Awaitable[calls.Reply | None]
 ]
 
 
 class _HttpCallerStream(calls.CallerStream):
-    def __init__(self, request: web.BaseRequest, closing: bool) -> None:
+    def __init__(
+        self, request: web.BaseRequest, close_connection: bool
+    ) -> None:
         self.request = request
         self.response = web.StreamResponse()
-        self.closing = closing
+        self.close_connection = close_connection
         self.begun = False
 
     @property
@@ -40,7 +42,7 @@
         self.response.set_status(status)
         self.response.headers.extend(headers)
         self.response.enable_chunked_encoding()
-        if self.closing:
+        if self.close_connection:
             self.response.force_close()
         self.begun = True
         await self.response.prepare(self.request)
@@ -52,7 +54,8 @@
         await self.response.write_eof()
 
     def cut(self) -> None:
-        # What is written goes out, the end mark of the body doesn't.
+        # Flushes written data but omits the final chunk, so that the caller
+        # detects the truncated body.
         if self.request.transport is not None:
             self.request.transport.close()
 
@@ -60,10 +63,10 @@
 class Ingress:
     """The HTTP server for callers.
 
-    :param handle: gives a reply, or ``None`` where it used the stream.
+    :param handle: returns a reply, or ``None`` if it wrote to the stream.
     """
 
-    def __init__(self, handle: Handle, dialect: calls.CallerDialect) -> None:
+    def __init__(self, handle: Handler, dialect: calls.CallerDialect) -> None:
         self.handle = handle
         self.dialect = dialect
         self.draining = False
@@ -71,7 +74,7 @@
         self.server = web.Server(
             self._on_request,
             handler_cancellation=True,
-            keepalive_timeout=IDLE_S,
+            keepalive_timeout=KEEPALIVE_TIMEOUT_S,
             access_log=None,
             auto_decompress=False,
             max_line_size=MAX_FIELD_BYTES,
@@ -79,13 +82,15 @@
         )
 
     async def start(self, host: str, port: int) -> None:
-        """Open the port."""
-        self.runner = web.ServerRunner(self.server, shutdown_timeout=CLOSE_S)
+        """Start listening."""
+        self.runner = web.ServerRunner(
+            self.server, shutdown_timeout=SHUTDOWN_TIMEOUT_S
+        )
         await self.runner.setup()
         await web.TCPSite(self.runner, host, port, backlog=1024).start()
 
     async def close(self) -> None:
-        """Close the port and all connections."""
+        """Stop listening and close all connections."""
         await self.runner.cleanup()
 
     async def _on_request(self, request: web.BaseRequest) -> t.Any:
@@ -107,7 +112,7 @@
             ident = call.ident
             reply = await self.handle(call, stream)
         except errors.RequestError as error:
-            reply = _refusal(error, self.dialect.echo(ident))
+            reply = _error_reply(error, self.dialect.echo(ident))
         except (asyncio.CancelledError, ConnectionError):
             raise
         except Exception:
@@ -115,7 +120,7 @@
             error = errors.RequestError(
                 'internal error', 'entry', ran=errors.Ran.UNKNOWN, status=500
             )
-            reply = _refusal(error, self.dialect.echo(ident))
+            reply = _error_reply(error, self.dialect.echo(ident))
         if stream.begun:
             return stream.response
         assert reply is not None
@@ -127,11 +132,11 @@
         return response
 
 
-def _refusal(
+def _error_reply(
     error: errors.RequestError, headers: calls.Headers
 ) -> calls.Reply:
-    more = [('Content-Type', 'application/json'), *headers]
+    reply_headers = [('Content-Type', 'application/json'), *headers]
     if error.retry_after is not None:
-        more.append(('Retry-After', f'{error.retry_after:.2f}'))
+        reply_headers.append(('Retry-After', f'{error.retry_after:.2f}'))
     body = json.dumps(error.body()).encode()
-    return calls.Reply(error.status, tuple(more), body)
+    return calls.Reply(error.status, tuple(reply_headers), body)
--- a/src/bulrushhold/web/_platform.py
+++ b/src/bulrushhold/web/_platform.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances and backend servers, over HTTP."""
+"""Fetches the platform's list of instances and backend servers."""
 
 import asyncio
 
@@ -8,29 +8,29 @@
 from bulrushhold import errors
 from bulrushhold import ports
 
-TIMEOUT_S = 2.0
+REQUEST_TIMEOUT_S = 2.0
 
 
 class HttpPlatformList(ports.PlatformList):
-    """Asks for the list, and gets it only when it has changed.
+    """Fetches the list with conditional requests.
 
-    With 600 engines the list is tens of kilobytes; asked for each second
-    without its entity tag, it alone would break the traffic budget.
+    The list is large and polled often; an ETag avoids transferring it
+    when it hasn't changed.
     """
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
         self.session = session
         self.url = url
-        self.tag = ''
+        self.etag = ''
 
     async def fetch(self) -> ports.Platform | None:
-        """Return the list, or ``None`` where it hasn't changed."""
-        headers = {'If-None-Match': self.tag} if self.tag else {}
+        """Return the list, or ``None`` if it hasn't changed."""
+        headers = {'If-None-Match': self.etag} if self.etag else {}
         try:
             async with self.session.get(
                 self.url,
                 headers=headers,
-                timeout=aiohttp.ClientTimeout(total=TIMEOUT_S),
+                timeout=aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S),
             ) as response:
                 if response.status == 304:
                     return None
@@ -39,7 +39,7 @@
                         f'status {response.status}', 'platform', self.url
                     )
                 body = await response.read()
-                tag = response.headers.get('ETag', '')
+                etag = response.headers.get('ETag', '')
             platform = msgspec.json.decode(body, type=ports.Platform)
         except (
             aiohttp.ClientError,
@@ -50,5 +50,5 @@
             raise errors.PeerError(
                 str(error) or type(error).__name__, 'platform', self.url
             ) from error
-        self.tag = tag
+        self.etag = etag
         return platform
