--- a/src/bulrushhold/emulator/__init__.py
+++ b/src/bulrushhold/emulator/__init__.py
@@ -3,7 +3,7 @@
 from bulrushhold.emulator._clock import EmulatedLoop
 from bulrushhold.emulator._clock import run
 from bulrushhold.emulator._engine import Engine
-from bulrushhold.emulator._engine import EngineFigures
+from bulrushhold.emulator._engine import EngineProfile
 from bulrushhold.emulator._system import Load
 from bulrushhold.emulator._system import Outcome
 from bulrushhold.emulator._system import System
@@ -11,7 +11,7 @@
 __all__ = [
     'EmulatedLoop',
     'Engine',
-    'EngineFigures',
+    'EngineProfile',
     'Load',
     'Outcome',
     'System',
--- a/src/bulrushhold/emulator/_client.py
+++ b/src/bulrushhold/emulator/_client.py
@@ -7,8 +7,8 @@
 from bulrushhold.emulator import _engine
 from bulrushhold import errors
 
-WAY_S: t.Final = 0.002
-CONNECT_S: t.Final = 0.25
+ONE_WAY_DELAY_S: t.Final = 0.002
+CONNECT_TIMEOUT_S: t.Final = 0.25
 
 
 class _Answer(calls.BackendAnswer):
@@ -17,19 +17,19 @@
         engine: _engine.Engine,
         run: _engine.Run | None,
         head: calls.AnswerHead,
-        first: int | None = None,
+        first_event: int | None = None,
     ) -> None:
         self.engine = engine
         self.run = run
         self.head = head
-        self.first = first
+        self.first_event = first_event
 
     async def chunk(self) -> bytes:
         assert self.run is not None
-        event: t.Any = self.first
-        self.first = None
+        event: t.Any = self.first_event
+        self.first_event = None
         if event is None:
-            event = await self.run.out.get()
+            event = await self.run.events.get()
         if isinstance(event, errors.BackendError):
             raise event
         if event is None:
@@ -41,7 +41,7 @@
 
     def close(self) -> None:
         if self.run is not None:
-            self.engine.leave(self.run)
+            self.engine.cancel(self.run)
 
 
 class EmulatedClient(calls.BackendClient):
@@ -61,22 +61,22 @@
     ) -> calls.BackendAnswer:
         """Send a call; see :class:`calls.BackendClient`."""
         engine = self.engines[attempt.address]
-        await self._reach(engine, 'connect')
+        await self._connect(engine, 'connect')
         if engine.ident != attempt.instance:
             return _refusal(engine, 421)
         run = self._run(engine, call, attempt)
         if run is None:
             return _refusal(engine, 503)
-        engine.take(run)
+        engine.enqueue(run)
         try:
-            first = await run.out.get()
+            first_event = await run.events.get()
         except asyncio.CancelledError:
-            engine.leave(run)
+            engine.cancel(run)
             raise
-        if isinstance(first, errors.BackendError):
+        if isinstance(first_event, errors.BackendError):
             raise errors.BackendError('reset', 'send', attempt.address)
         head = calls.AnswerHead(200, (), True, True, False)
-        return _Answer(engine, run, head, first)
+        return _Answer(engine, run, head, first_event)
 
     def _run(
         self,
@@ -85,59 +85,63 @@
         attempt: calls.Attempt,
     ) -> _engine.Run | None:
         assert call.prompt is not None
-        part = call.prompt.parts[-1]
-        made = (call.after if attempt.after is None else attempt.after) or 0
-        made *= engine.figures.stride
-        tokens = call.prompt.tokens + made
-        unread = tokens - engine.parts.get(part, 0)
+        segment = call.prompt.parts[-1]
+        generated = (
+            call.after if attempt.after is None else attempt.after
+        ) or 0
+        generated *= engine.profile.tokens_per_event
+        tokens = call.prompt.tokens + generated
+        unread_tokens = tokens - engine.cached_segments.get(segment, 0)
         if attempt.copy is not None:
             copy = engine.copies.pop(attempt.copy.name or call.ident, None)
             if copy is None:
                 return None
-            unread = tokens - copy.tokens
+            unread_tokens = tokens - copy.tokens
         return _engine.Run(
             call.ident,
-            part,
+            segment,
             call.prompt.tokens,
-            self.lengths[part],
-            max(0, unread),
-            made,
+            self.lengths[segment],
+            max(0, unread_tokens),
+            generated,
             self.engines.get(attempt.backup),
             asyncio.Queue(),
             attempt.copy is not None,
         )
 
-    async def _reach(self, engine: _engine.Engine, step: str) -> None:
-        if not engine.up and engine.dark:
-            await asyncio.sleep(CONNECT_S)
+    async def _connect(self, engine: _engine.Engine, step: str) -> None:
+        if not engine.up and engine.unreachable:
+            await asyncio.sleep(CONNECT_TIMEOUT_S)
             raise errors.BackendError('no answer', step, engine.address)
-        await asyncio.sleep(2 * WAY_S)
+        await asyncio.sleep(2 * ONE_WAY_DELAY_S)
         if not engine.up:
             raise errors.BackendError('refused', step, engine.address)
 
     async def alive(self, address: str, timeout: float) -> bool:
         """Ask an engine whether it lives."""
         engine = self.engines[address]
-        if not engine.up and engine.dark:
+        if not engine.up and engine.unreachable:
             await asyncio.sleep(timeout)
-        await asyncio.sleep(2 * WAY_S)
+        await asyncio.sleep(2 * ONE_WAY_DELAY_S)
         return engine.up
 
     async def parts_kept(self, address: str, timeout: float) -> frozenset[str]:
         """Ask an engine what it keeps; see :class:`calls.BackendClient`."""
         engine = self.engines[address]
-        await self._reach(engine, 'parts')
-        return frozenset(engine.parts)
+        await self._connect(engine, 'parts')
+        return frozenset(engine.cached_segments)
 
     async def copy_run(
         self, call: calls.Call, source: str, target: str, timeout: float
     ) -> calls.RunCopy:
         """Order a copy; see :class:`calls.BackendClient`."""
         engine = self.engines[source]
-        await self._reach(engine, 'copy')
+        await self._connect(engine, 'copy')
         run = next((r for r in engine.running if r.ident == call.ident), None)
         name = f'{call.ident}@{target}'
-        if run is None or not self.engines[target].keep(name, run.held):
+        if run is None or not self.engines[target].store_copy(
+            name, run.kv_tokens
+        ):
             raise errors.BackendError('no copy', 'copy', source)
         return calls.RunCopy(source, name)
 
--- a/src/bulrushhold/emulator/_clock.py
+++ b/src/bulrushhold/emulator/_clock.py
@@ -13,7 +13,7 @@
 T = t.TypeVar('T')
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _EmulatedTimeSelector(selectors.SelectSelector):
     """Lets no time pass but by moving the clock."""
 
     now = 0.0
@@ -31,12 +31,12 @@
     """An event loop on emulated time, from 0 seconds on."""
 
     def __init__(self) -> None:
-        self.jumping = _JumpingSelector()
-        super().__init__(self.jumping)
+        self.time_selector = _EmulatedTimeSelector()
+        super().__init__(self.time_selector)
 
     def time(self) -> float:
         """Return emulated seconds."""
-        return self.jumping.now
+        return self.time_selector.now
 
 
 def run(main: cabc.Coroutine[t.Any, t.Any, T]) -> T:
--- a/src/bulrushhold/emulator/_engine.py
+++ b/src/bulrushhold/emulator/_engine.py
@@ -12,12 +12,12 @@
 
 from bulrushhold import errors
 
-COPY_EVERY_S: t.Final = 0.25
-COPY_KEPT_S: t.Final = 4.0
+COPY_INTERVAL_S: t.Final = 0.25
+COPY_LIFETIME_S: t.Final = 4.0
 
 
 @attrs.frozen
-class EngineFigures:
+class EngineProfile:
     """What an engine is able to do.
 
     :param step_s: seconds of a step with one running stream.
@@ -30,10 +30,10 @@
 
     step_s: float = 0.0065
     step_s_per_run: float = 0.0001
-    read_per_s: float = 8000.0
-    chunk: int = 200
-    stride: int = 4
-    memory: int = 88_000
+    read_tokens_per_s: float = 8000.0
+    chunk_tokens: int = 200
+    tokens_per_event: int = 4
+    kv_capacity: int = 88_000
     slots: int = 128
 
 
@@ -48,53 +48,53 @@
     """
 
     ident: str
-    part: str
+    segment: str
     prompt: int
     length: int
-    unread: int
-    made: int
+    unread_tokens: int
+    generated: int
     backup: 'Engine | None'
-    out: 'asyncio.Queue[int | None | errors.BackendError]'
-    copied: bool = False
-    copied_at: float = 0.0
+    events: 'asyncio.Queue[int | None | errors.BackendError]'
+    from_copy: bool = False
+    last_copy_at: float = 0.0
 
     @property
-    def held(self) -> int:
+    def kv_tokens(self) -> int:
         """Tokens in memory, or to be there once the prompt is read."""
-        return self.prompt + self.made
+        return self.prompt + self.generated
 
 
 @attrs.define
 class _Copy:
     tokens: int
-    until: float
+    expires_at: float
 
 
 class Engine:
     """One start of one engine after the other, at one address."""
 
     def __init__(
-        self, address: str, data_centre: str, figures: EngineFigures
+        self, address: str, data_centre: str, profile: EngineProfile
     ) -> None:
         self.address = address
         self.data_centre = data_centre
-        self.figures = figures
-        self.starts = 0
-        self.work: asyncio.Task[None] | None = None
+        self.profile = profile
+        self.incarnation = 0
+        self.task: asyncio.Task[None] | None = None
         self.tokens_read = 0
-        self.slowness = 1.0
+        self.slowdown = 1.0
         self._reset()
 
     def _reset(self) -> None:
-        self.starts += 1
-        self.ident = f'{self.address}#{self.starts}'
+        self.incarnation += 1
+        self.ident = f'{self.address}#{self.incarnation}'
         self.up = True
-        self.dark = False
+        self.unreachable = False
         self.queue: list[Run] = []
         self.running: list[Run] = []
         self.copies: dict[str, _Copy] = {}
-        self.parts: dict[str, int] = {}
-        self.wake = asyncio.Event()
+        self.cached_segments: dict[str, int] = {}
+        self.wakeup = asyncio.Event()
 
     @property
     def now(self) -> float:
@@ -103,19 +103,19 @@
 
     def start(self) -> None:
         """Begin to work."""
-        self.work = asyncio.ensure_future(self._work())
+        self.task = asyncio.ensure_future(self._run_steps())
 
-    def crash(self, *, dark: bool) -> None:
+    def crash(self, *, unreachable: bool) -> None:
         """Lose all streams.
 
         :param dark: without a word, as at a loss of power.
         """
-        assert self.work is not None
-        self.work.cancel()
-        self.up, self.dark = False, dark
-        for one in self.running + self.queue:
-            if not dark:
-                one.out.put_nowait(
+        assert self.task is not None
+        self.task.cancel()
+        self.up, self.unreachable = False, unreachable
+        for run in self.running + self.queue:
+            if not unreachable:
+                run.events.put_nowait(
                     errors.BackendError('reset', 'answer', self.address)
                 )
         self.running, self.queue = [], []
@@ -125,99 +125,105 @@
         self._reset()
         self.start()
 
-    def take(self, one: Run) -> None:
+    def enqueue(self, run: Run) -> None:
         """Queue a stream."""
-        self.queue.insert(0 if one.copied else len(self.queue), one)
-        self.wake.set()
+        self.queue.insert(0 if run.from_copy else len(self.queue), run)
+        self.wakeup.set()
 
-    def leave(self, one: Run) -> None:
+    def cancel(self, run: Run) -> None:
         """Drop a stream that nobody waits for any more."""
-        for kept in (self.queue, self.running):
-            if one in kept:
-                kept.remove(one)
+        for runs in (self.queue, self.running):
+            if run in runs:
+                runs.remove(run)
 
-    def memory_used(self) -> int:
+    def kv_used(self) -> int:
         """Return tokens that can't yield."""
-        for name in [k for k, c in self.copies.items() if c.until < self.now]:
+        for name in [
+            k for k, c in self.copies.items() if c.expires_at < self.now
+        ]:
             del self.copies[name]
         copies = sum(copy.tokens for copy in self.copies.values())
-        return copies + sum(one.held for one in self.running)
+        return copies + sum(run.kv_tokens for run in self.running)
 
-    def has_room(self, tokens: int) -> bool:
+    def fits(self, tokens: int) -> bool:
         """Whether so many tokens more fit in."""
-        return self.memory_used() + tokens <= self.figures.memory
+        return self.kv_used() + tokens <= self.profile.kv_capacity
 
-    async def _work(self) -> None:
+    async def _run_steps(self) -> None:
         while True:
             self._admit()
             if not self.running:
-                self.wake.clear()
-                await self.wake.wait()
+                self.wakeup.clear()
+                await self.wakeup.wait()
                 continue
-            await asyncio.sleep(self._step_s() * self.slowness)
+            await asyncio.sleep(self._step_s() * self.slowdown)
             self._step()
 
     def _admit(self) -> None:
-        while self.queue and len(self.running) < self.figures.slots:
-            if self.running and not self.has_room(self.queue[0].held):
+        while self.queue and len(self.running) < self.profile.slots:
+            if self.running and not self.fits(self.queue[0].kv_tokens):
                 return
             self.running.append(self.queue.pop(0))
 
-    def _reader(self) -> Run | None:
-        unread = [one for one in self.running if one.unread]
-        return min(unread, key=lambda one: not one.copied, default=None)
+    def _next_to_read(self) -> Run | None:
+        unread = [run for run in self.running if run.unread_tokens]
+        return min(unread, key=lambda run: not run.from_copy, default=None)
 
     def _step_s(self) -> float:
-        figures = self.figures
-        seconds = figures.step_s + figures.step_s_per_run * len(self.running)
-        reader = self._reader()
-        if reader is not None:
-            chunk = min(figures.chunk, reader.unread)
-            seconds += chunk / figures.read_per_s
+        profile = self.profile
+        seconds = profile.step_s + profile.step_s_per_run * len(self.running)
+        reading = self._next_to_read()
+        if reading is not None:
+            chunk_tokens = min(profile.chunk_tokens, reading.unread_tokens)
+            seconds += chunk_tokens / profile.read_tokens_per_s
         return seconds
 
     def _step(self) -> None:
-        reader = self._reader()
-        for one in list(self.running):
-            if not one.unread:
-                self._make_token(one)
-        if reader is not None and reader in self.running:
-            chunk = min(self.figures.chunk, reader.unread)
-            reader.unread -= chunk
-            self.tokens_read += chunk
-            if not reader.unread:
-                self.parts[reader.part] = reader.prompt
-        while len(self.running) > 1 and not self.has_room(0):
+        reading = self._next_to_read()
+        for run in list(self.running):
+            if not run.unread_tokens:
+                self._generate_token(run)
+        if reading is not None and reading in self.running:
+            chunk_tokens = min(
+                self.profile.chunk_tokens, reading.unread_tokens
+            )
+            reading.unread_tokens -= chunk_tokens
+            self.tokens_read += chunk_tokens
+            if not reading.unread_tokens:
+                self.cached_segments[reading.segment] = reading.prompt
+        while len(self.running) > 1 and not self.fits(0):
             self._preempt(self.running[-1])
 
-    def _make_token(self, one: Run) -> None:
-        one.made += 1
-        self._copy(one)
-        done = one.made >= one.length
-        if one.made % self.figures.stride == 0 or done:
-            one.out.put_nowait(-(-one.made // self.figures.stride))
+    def _generate_token(self, run: Run) -> None:
+        run.generated += 1
+        self._update_backup(run)
+        done = run.generated >= run.length
+        if run.generated % self.profile.tokens_per_event == 0 or done:
+            run.events.put_nowait(
+                -(-run.generated // self.profile.tokens_per_event)
+            )
         if done:
-            one.out.put_nowait(None)
-            self.running.remove(one)
-            if one.backup is not None:
-                one.backup.copies.pop(one.ident, None)
-
-    def _preempt(self, one: Run) -> None:
-        self.running.remove(one)
-        one.unread = one.held
-        self.queue.insert(0, one)
-
-    def _copy(self, one: Run) -> None:
-        if one.backup is None or self.now - one.copied_at < COPY_EVERY_S:
+            run.events.put_nowait(None)
+            self.running.remove(run)
+            if run.backup is not None:
+                run.backup.copies.pop(run.ident, None)
+
+    def _preempt(self, run: Run) -> None:
+        self.running.remove(run)
+        run.unread_tokens = run.kv_tokens
+        self.queue.insert(0, run)
+
+    def _update_backup(self, run: Run) -> None:
+        if run.backup is None or self.now - run.last_copy_at < COPY_INTERVAL_S:
             return
-        one.copied_at = self.now
-        one.backup.keep(one.ident, one.held)
+        run.last_copy_at = self.now
+        run.backup.store_copy(run.ident, run.kv_tokens)
 
-    def keep(self, name: str, tokens: int) -> bool:
+    def store_copy(self, name: str, tokens: int) -> bool:
         """Keep a copy of a run's memory, where there is room."""
-        known = self.copies.get(name)
-        more = tokens - (known.tokens if known else 0)
-        if not self.up or not self.has_room(more):
+        previous = self.copies.get(name)
+        extra_tokens = tokens - (previous.tokens if previous else 0)
+        if not self.up or not self.fits(extra_tokens):
             return False
-        self.copies[name] = _Copy(tokens, self.now + COPY_KEPT_S)
+        self.copies[name] = _Copy(tokens, self.now + COPY_LIFETIME_S)
         return True
--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -19,11 +19,11 @@
 
 SERVICE: t.Final = 'engines'
 # Until what one entry sees is known to all others.
-NEWS_S: t.Final = 0.05
+LOAD_REPORT_DELAY_S: t.Final = 0.05
 # Until a platform lists an engine that came back.
 LIST_LAG_S: t.Final = 0.8
 # Callers wait for a first event for as many times the aim.
-LEAVE: t.Final = 4
+FIRST_EVENT_TIMEOUT_FACTOR: t.Final = 4
 
 
 @attrs.frozen
@@ -38,13 +38,13 @@
     :param gap_s: longest pause between events, likewise.
     """
 
-    per_s: float
-    seconds: float
-    prompt: int = 8000
-    output: int = 600
-    spread: float = 0.3
-    aim_s: float = 4.5
-    gap_s: float = 0.7
+    streams_per_s: float
+    duration_s: float
+    prompt_tokens: int = 8000
+    output_tokens: int = 600
+    relative_stddev: float = 0.3
+    target_latency_s: float = 4.5
+    max_gap_s: float = 0.7
     timeout_s: float = 25.0
 
 
@@ -57,20 +57,20 @@
     :param ended: when it was whole.
     """
 
-    arrived: float
-    ended: float = 0.0
-    first_s: float | None = None
+    arrived_at: float
+    completed_at: float = 0.0
+    first_event_s: float | None = None
     longest_pause_s: float = 0.0
-    whole: bool = False
+    completed: bool = False
     refused: bool = False
 
-    def in_time(self, load: Load) -> bool:
+    def meets_objective(self, load: Load) -> bool:
         """Whether the answer is whole, in time and without a long pause."""
         return (
-            self.whole
-            and self.first_s is not None
-            and self.first_s <= load.aim_s
-            and self.longest_pause_s <= load.gap_s
+            self.completed
+            and self.first_event_s is not None
+            and self.first_event_s <= load.target_latency_s
+            and self.longest_pause_s <= load.max_gap_s
         )
 
 
@@ -83,7 +83,7 @@
     def __init__(self, outcome: Outcome) -> None:
         self.outcome = outcome
         self.begun = False
-        self.shown_at: float | None = None
+        self.last_write_at: float | None = None
 
     @property
     def connected(self) -> bool:
@@ -95,16 +95,16 @@
     async def write(self, data: bytes) -> None:
         now = emulated_now()
         outcome = self.outcome
-        if outcome.first_s is None:
-            outcome.first_s = now - outcome.arrived
-        if self.shown_at is not None:
-            pause = now - self.shown_at
+        if outcome.first_event_s is None:
+            outcome.first_event_s = now - outcome.arrived_at
+        if self.last_write_at is not None:
+            pause = now - self.last_write_at
             outcome.longest_pause_s = max(outcome.longest_pause_s, pause)
-        self.shown_at = now
+        self.last_write_at = now
 
     async def end(self) -> None:
-        self.outcome.whole = True
-        self.outcome.ended = emulated_now()
+        self.outcome.completed = True
+        self.outcome.completed_at = emulated_now()
 
     def cut(self) -> None:
         pass
@@ -120,9 +120,9 @@
         self.budget = decisions.RepeatBudget(0.8, 150.0, 10.0)
         self.admission = decisions.AdmissionController()
         self.placement = decisions.Placement(system.rng)
-        self.placement.on_news = self._on_news
-        self.telling = False
-        self.number = 0
+        self.placement.on_news = self._schedule_report
+        self.report_scheduled = False
+        self.summary_number = 0
         self.parts = forwarding.Parts(
             self.placement,
             client,
@@ -133,30 +133,38 @@
             loop.time,
         )
 
-    def _on_news(self) -> None:
-        if not self.telling:
-            self.telling = True
-            asyncio.get_running_loop().call_later(NEWS_S, self._tell)
+    def _schedule_report(self) -> None:
+        if not self.report_scheduled:
+            self.report_scheduled = True
+            asyncio.get_running_loop().call_later(
+                LOAD_REPORT_DELAY_S, self._publish_report
+            )
 
-    def _tell(self) -> None:
-        self.telling = False
+    def _publish_report(self) -> None:
+        self.report_scheduled = False
         now = emulated_now()
         traffic = {
-            service: attrs.evolve(one, waiting=self.admission.waiting[service])
-            for service, one in self.budget.traffic(now).items()
+            service: attrs.evolve(
+                load, waiting=self.admission.waiting[service]
+            )
+            for service, load in self.budget.traffic(now).items()
         }
         report = self.placement.load_report(self.name, traffic, now)
-        self.system.loads.take(report, now)
+        self.system.load_aggregator.take(report, now)
         for entry in self.system.entries:
-            entry.hear(now)
+            entry.apply_load_summary(now)
 
-    def hear(self, now: float) -> None:
+    def apply_load_summary(self, now: float) -> None:
         """Take the news of all other entries."""
-        news = self.system.loads.others(self.name, self.number)
-        self.number = news.number
-        self.placement.apply_loads(news, now)
-        self.budget.apply_loads(news.traffic, now)
-        waiting = {name: one.waiting for name, one in news.traffic.items()}
+        summary = self.system.load_aggregator.others(
+            self.name, self.summary_number
+        )
+        self.summary_number = summary.number
+        self.placement.apply_loads(summary, now)
+        self.budget.apply_loads(summary.traffic, now)
+        waiting = {
+            name: load.waiting for name, load in summary.traffic.items()
+        }
         self.admission.apply_loads(waiting, now)
 
 
@@ -165,7 +173,7 @@
 
     def __init__(
         self,
-        figures: cabc.Sequence[_engine.EngineFigures],
+        profiles: cabc.Sequence[_engine.EngineProfile],
         entries: int,
         seed: int,
     ) -> None:
@@ -173,20 +181,22 @@
         # Forwarding draws from the common source.
         random.seed(seed)
         self.engines = {}
-        for number, one in enumerate(figures):
+        for number, profile in enumerate(profiles):
             address = f'10.0.{number // 250}.{number % 250}:80'
-            place = f'dc{number % 3}'
-            self.engines[address] = _engine.Engine(address, place, one)
+            data_centre = f'dc{number % 3}'
+            self.engines[address] = _engine.Engine(
+                address, data_centre, profile
+            )
         self.lengths: dict[str, int] = {}
-        self.loads = decisions.LoadAggregator()
+        self.load_aggregator = decisions.LoadAggregator()
         client = _client.EmulatedClient(self.engines, self.lengths)
         self.entries = [_Entry(f'e{n}', self, client) for n in range(entries)]
         self.outcomes: list[Outcome] = []
         for entry in self.entries:
             entry.budget.entries = entries
-        memory = min(one.memory for one in figures)
+        kv_capacity = min(profile.kv_capacity for profile in profiles)
         for entry in self.entries:
-            entry.placement.capacity = {SERVICE: memory}
+            entry.placement.capacity = {SERVICE: kv_capacity}
         self.list_engines()
         for engine in self.engines.values():
             engine.start()
@@ -199,79 +209,103 @@
                 SERVICE,
                 engine.address,
                 engine.data_centre,
-                engine.figures.slots,
+                engine.profile.slots,
             )
             for engine in self.engines.values()
         ]
         for entry in self.entries:
             entry.placement.update(listed)
 
-    async def lose_data_centre(
-        self, name: str, at: float, seconds: float, *, dark: bool
+    async def fail_data_centre(
+        self, name: str, at: float, duration_s: float, *, unreachable: bool
     ) -> None:
         """Crash all engines of a data centre, and start them again."""
         await asyncio.sleep(at)
-        lost = [e for e in self.engines.values() if e.data_centre == name]
-        for engine in lost:
-            engine.crash(dark=dark)
-        await asyncio.sleep(seconds)
-        for engine in lost:
+        crashed = [e for e in self.engines.values() if e.data_centre == name]
+        for engine in crashed:
+            engine.crash(unreachable=unreachable)
+        await asyncio.sleep(duration_s)
+        for engine in crashed:
             engine.restart()
         await asyncio.sleep(LIST_LAG_S)
         self.list_engines()
 
-    async def play(self, load: Load) -> list[Outcome]:
+    async def simulate(self, load: Load) -> list[Outcome]:
         """Have callers come, and return what each of them got."""
         callers = []
-        while emulated_now() < load.seconds:
-            await asyncio.sleep(self.rng.expovariate(load.per_s))
-            part = f'p{len(callers)}'
-            prompt = self._draw(load.prompt, load.spread)
-            self.lengths[part] = self._draw(load.output, load.spread)
+        while emulated_now() < load.duration_s:
+            await asyncio.sleep(self.rng.expovariate(load.streams_per_s))
+            segment = f'p{len(callers)}'
+            prompt_tokens = self._sample(
+                load.prompt_tokens, load.relative_stddev
+            )
+            self.lengths[segment] = self._sample(
+                load.output_tokens, load.relative_stddev
+            )
             outcome = Outcome(emulated_now())
             self.outcomes.append(outcome)
             callers.append(
-                asyncio.ensure_future(self._call(load, part, prompt, outcome))
+                asyncio.ensure_future(
+                    self._run_caller(load, segment, prompt_tokens, outcome)
+                )
             )
         await asyncio.gather(*callers)
         return self.outcomes
 
-    def _draw(self, mean: int, spread: float) -> int:
-        drawn = self.rng.gauss(mean, spread * mean)
-        return int(min(1.8 * mean, max(0.2 * mean, drawn)))
+    def _sample(self, mean: int, relative_stddev: float) -> int:
+        sample = self.rng.gauss(mean, relative_stddev * mean)
+        return int(min(1.8 * mean, max(0.2 * mean, sample)))
 
-    async def _call(
-        self, load: Load, part: str, prompt: int, outcome: Outcome
+    async def _run_caller(
+        self, load: Load, segment: str, prompt_tokens: int, outcome: Outcome
     ) -> None:
         for attempt in range(2):
-            left = outcome.arrived + load.timeout_s - emulated_now()
+            remaining_s = outcome.arrived_at + load.timeout_s - emulated_now()
             try:
-                await self._try(load, f'{part}-{attempt}', part, prompt, left)
+                await self._send_once(
+                    load,
+                    f'{segment}-{attempt}',
+                    segment,
+                    prompt_tokens,
+                    remaining_s,
+                )
             except errors.RequestError as error:
                 outcome.refused = error.ran is errors.Ran.NO
                 if not outcome.refused:
                     return
                 pause = error.retry_after or 0.0
-                await asyncio.sleep(min(pause, left / 3))
+                await asyncio.sleep(min(pause, remaining_s / 3))
             else:
                 return
 
-    async def _try(
-        self, load: Load, ident: str, part: str, prompt: int, left: float
+    async def _send_once(
+        self,
+        load: Load,
+        ident: str,
+        segment: str,
+        prompt_tokens: int,
+        remaining_s: float,
     ) -> None:
-        outcome = self.outcomes[int(part[1:])]
+        outcome = self.outcomes[int(segment[1:])]
         entry = self.rng.choice(self.entries)
-        prompts = calls.Prompt(prompt, load.output, (part,))
+        prompt = calls.Prompt(prompt_tokens, load.output_tokens, (segment,))
         now = emulated_now()
-        job = _job(load, ident, prompts, now, left)
+        job = _make_job(load, ident, prompt, now, remaining_s)
         entry.budget.first(SERVICE, now)
         run = asyncio.ensure_future(
             forwarding.StreamRun(entry.parts, job, _Caller(outcome)).run()
         )
         # Callers leave without a first event, and at the end of their time.
-        await asyncio.wait({run}, timeout=min(left, LEAVE * load.aim_s))
-        if outcome.first_s is not None:
-            await asyncio.wait({run}, timeout=now + left - emulated_now())
+        await asyncio.wait(
+            {run},
+            timeout=min(
+                remaining_s, FIRST_EVENT_TIMEOUT_FACTOR * load.target_latency_s
+            ),
+        )
+        if outcome.first_event_s is not None:
+            await asyncio.wait(
+                {run}, timeout=now + remaining_s - emulated_now()
+            )
         if not run.done():
             run.cancel()
             await asyncio.wait({run})
@@ -279,11 +313,24 @@
         run.result()
 
 
-def _job(
-    load: Load, ident: str, prompt: calls.Prompt, now: float, left: float
+def _make_job(
+    load: Load,
+    ident: str,
+    prompt: calls.Prompt,
+    now: float,
+    remaining_s: float,
 ) -> forwarding.Job:
     call = calls.Call(
-        ident, 'POST', '/a/', 'h', 'k', (), b'', left, None, prompt
+        ident,
+        'POST',
+        '/a/',
+        'h',
+        'k',
+        (),
+        b'',
+        remaining_s,
+        None,
+        prompt,
     )
     route = routes.Route(
         'r',
@@ -292,9 +339,9 @@
         routes.Kind.STREAM,
         [routes.Target(SERVICE, 1.0)],
         load.timeout_s,
-        load.aim_s,
+        load.target_latency_s,
         max_attempts=5,
         resumable=True,
-        gap_s=load.gap_s,
+        gap_s=load.max_gap_s,
     )
-    return forwarding.Job(call, route, SERVICE, 'a', now + left)
+    return forwarding.Job(call, route, SERVICE, 'a', now + remaining_s)
