--- a/src/bulrushhold/testing/__main__.py
+++ b/src/bulrushhold/testing/__main__.py
@@ -43,8 +43,8 @@
     asyncio.run(_serve(testing.PlatformService(platform, port)))
 
 
-async def _serve(stand_in: _http.HttpStandIn) -> None:
-    await stand_in.start()
+async def _serve(server: _http.FakeHttpServer) -> None:
+    await server.start()
     await asyncio.Event().wait()
 
 
--- a/src/bulrushhold/testing/_booking.py
+++ b/src/bulrushhold/testing/_booking.py
@@ -8,7 +8,7 @@
 from bulrushhold.testing import _http
 
 
-class BookingService(_http.HttpStandIn):
+class BookingService(_http.FakeHttpServer):
     """Books slots, as often as it is asked to.
 
     :param delay_s: seconds from the booking to its answer.
@@ -27,7 +27,7 @@
         return [
             web.post('/slots', self._book),
             web.get('/availability', self._look_up),
-            web.get('/runs', self._count),
+            web.get('/runs', self._report_runs),
         ]
 
     async def _book(self, request: web.Request) -> web.Response:
@@ -36,22 +36,22 @@
         if self.drop_answer and request.transport is not None:
             request.transport.abort()
         await asyncio.sleep(self.delay_s)
-        return self._answer(request, {'booked': slot})
+        return self._respond(request, {'booked': slot})
 
     async def _look_up(self, request: web.Request) -> web.Response:
         self.lookups += 1
         if self.drop_answer and request.transport is not None:
             request.transport.abort()
-        return self._answer(request, {'free': ['oven-1', 'oven-2']})
+        return self._respond(request, {'free': ['oven-1', 'oven-2']})
 
-    async def _count(self, request: web.Request) -> web.Response:
+    async def _report_runs(self, request: web.Request) -> web.Response:
         del request
         return web.json_response(dict(self.runs))
 
-    def _answer(
+    def _respond(
         self, request: web.Request, body: dict[str, object]
     ) -> web.Response:
-        answered = request.headers.get('X-Request-Id', '')
+        request_id = request.headers.get('X-Request-Id', '')
         if self.crossed:
-            answered = 'another'
-        return web.json_response(body, headers={'X-Request-Id': answered})
+            request_id = 'another'
+        return web.json_response(body, headers={'X-Request-Id': request_id})
--- a/src/bulrushhold/testing/_deployment.py
+++ b/src/bulrushhold/testing/_deployment.py
@@ -16,9 +16,9 @@
 
 from bulrushhold.testing import _ports
 
-START_S: t.Final = 30.0
+STARTUP_TIMEOUT_S: t.Final = 30.0
 OPERATOR_KEY: t.Final = 'demo-operator-key-0001'
-FIRST_TABLE: t.Final = (
+INITIAL_TABLE: t.Final = (
     'account,work,weight,token_rate,concurrency,deadline_s,priority,'
     'idempotent,revision\n'
     'vendors,chat,1,0,0,20,1,yes,0\n'
@@ -74,14 +74,14 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         self.key_file.write_text(OPERATOR_KEY)
         self._write('platform.json', self.platform_list())
-        self._stand_in(
+        self._start_fake(
             'platform',
             '--port',
             str(self.platform_port),
             '--list',
             str(self.folder / 'platform.json'),
         )
-        self._stand_in('booking', '--port', str(self.booking_port))
+        self._start_fake('booking', '--port', str(self.booking_port))
         for name in self.engines:
             self.start_engine(name)
         for name in self.controls:
@@ -94,7 +94,7 @@
             self.start_entry(name)
         self.await_ready()
         table = self.folder / 'first.csv'
-        table.write_text(FIRST_TABLE)
+        table.write_text(INITIAL_TABLE)
         self.cli('table', 'push', '--wait', str(table))
 
     def platform_list(
@@ -137,7 +137,7 @@
 
     def start_engine(self, name: str) -> None:
         """Start an engine."""
-        self._stand_in(
+        self._start_fake(
             'engine',
             '--name',
             name,
@@ -158,29 +158,29 @@
         path = self.folder / f'{name}.json'
         self._spawn(name, '-m', 'bulrushhold', 'entry', '--settings', path)
 
-    def kill(self, name: str, number: int = signal.SIGKILL) -> None:
+    def kill(self, name: str, signal_number: int = signal.SIGKILL) -> None:
         """Send a process that this deployment started a signal."""
         process = self.processes[name]
-        process.send_signal(number)
-        if number == signal.SIGKILL:
+        process.send_signal(signal_number)
+        if signal_number == signal.SIGKILL:
             process.wait()
 
-    def cli(self, *words: str) -> str:
+    def cli(self, *arguments: str) -> str:
         """Run an operators' command, and return what it printed."""
         environment = {
             'BULRUSHHOLD_ENTRY': self.seeds[0],
             'BULRUSHHOLD_KEY_FILE': str(self.key_file),
         }
-        return self._command(*words, environment=environment)
+        return self._command(*arguments, environment=environment)
 
     def await_port(self, port: int) -> None:
         """Wait until a process listens."""
-        self._await(f'http://127.0.0.1:{port}/', any_status=True)
+        self._wait_for_url(f'http://127.0.0.1:{port}/', any_status=True)
 
     def await_ready(self, names: t.Iterable[str] | None = None) -> None:
         """Wait until entries are ready."""
         for name in names or self.http:
-            self._await(f'http://127.0.0.1:{self.http[name]}/readyz')
+            self._wait_for_url(f'http://127.0.0.1:{self.http[name]}/readyz')
 
     def booked(self) -> dict[str, int]:
         """Return how often each slot was booked."""
@@ -219,10 +219,12 @@
         return self._write(f'{name}.json', document)
 
     def _write_entry(self, name: str) -> pathlib.Path:
-        own = self.platform_list()['entries'][list(self.http).index(name)]
+        own_entry = self.platform_list()['entries'][
+            list(self.http).index(name)
+        ]
         document = {
             'name': name,
-            'data_centre': own['data_centre'],
+            'data_centre': own_entry['data_centre'],
             'http': {'host': '127.0.0.1', 'port': self.http[name]},
             'peer': {'host': '127.0.0.1', 'port': self.peers[name]},
             'control': [
@@ -240,35 +242,41 @@
         path.write_text(json.dumps(document, indent=2))
         return path
 
-    def _stand_in(self, kind: str, *words: str, process: str = '') -> None:
-        self._spawn(process or kind, '-m', 'bulrushhold.testing', kind, *words)
+    def _start_fake(
+        self, kind: str, *arguments: str, process: str = ''
+    ) -> None:
+        self._spawn(
+            process or kind, '-m', 'bulrushhold.testing', kind, *arguments
+        )
 
-    def _spawn(self, name: str, *words: t.Any) -> None:
+    def _spawn(self, name: str, *arguments: t.Any) -> None:
         log = open(self.folder / f'{name}.log', 'ab')
         with log:
             self.processes[name] = subprocess.Popen(
-                [sys.executable, *map(str, words)],
+                [sys.executable, *map(str, arguments)],
                 stdout=log,
                 stderr=log,
                 stdin=subprocess.DEVNULL,
             )
 
     def _command(
-        self, *words: str, environment: dict[str, str] | None = None
+        self, *arguments: str, environment: dict[str, str] | None = None
     ) -> str:
-        done = subprocess.run(
-            [sys.executable, '-m', 'bulrushhold', *words],
+        completed = subprocess.run(
+            [sys.executable, '-m', 'bulrushhold', *arguments],
             capture_output=True,
             text=True,
             check=False,
             env={**os.environ, **(environment or {})},
         )
-        if done.returncode:
-            raise RuntimeError(f'{words}: {done.stderr}{done.stdout}')
-        return done.stdout
+        if completed.returncode:
+            raise RuntimeError(
+                f'{arguments}: {completed.stderr}{completed.stdout}'
+            )
+        return completed.stdout
 
-    def _await(self, url: str, *, any_status: bool = False) -> None:
-        end = time.monotonic() + START_S
+    def _wait_for_url(self, url: str, *, any_status: bool = False) -> None:
+        deadline = time.monotonic() + STARTUP_TIMEOUT_S
         while True:
             try:
                 with urllib.request.urlopen(url, timeout=2):
@@ -278,7 +286,7 @@
                     return
             except OSError:
                 pass
-            dead = [n for n, p in self.processes.items() if p.poll()]
-            if dead or time.monotonic() > end:
-                raise RuntimeError(f'{url} did not come up; ended: {dead}')
+            exited = [n for n, p in self.processes.items() if p.poll()]
+            if exited or time.monotonic() > deadline:
+                raise RuntimeError(f'{url} did not come up; ended: {exited}')
             time.sleep(0.02)
--- a/src/bulrushhold/testing/_engine.py
+++ b/src/bulrushhold/testing/_engine.py
@@ -9,10 +9,10 @@
 
 from bulrushhold.testing import _http
 
-CRASH_WORD: t.Final = 'CRASH'
+CRASH_MARKER: t.Final = 'CRASH'
 
 
-class Engine(_http.HttpStandIn):
+class Engine(_http.FakeHttpServer):
     """Streams tokens that tell which generation they belong to.
 
     Token ``i`` of a generation is ``<generation>:<i> ``. A fresh request
@@ -23,7 +23,7 @@
     :param slots: streams at once; more wait their turn.
     """
 
-    numbers = itertools.count(1)
+    generation_numbers = itertools.count(1)
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self.thawed.set()
         self.crossed = False
         self.drop_end_mark = False
-        self.refuse_status = 0
+        self.error_status = 0
         self.leaving = False
 
     def routes(self) -> list[web.RouteDef]:
@@ -53,7 +53,7 @@
         return [
             web.post('/v1/chat/completions', self._complete),
             web.post('/v1/cancel', self._cancel),
-            web.get('/v1/work', self._work),
+            web.get('/v1/work', self._report_work),
         ]
 
     def freeze(self) -> None:
@@ -65,13 +65,13 @@
         self.thawed.set()
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
-        order = await request.json()
+        payload = await request.json()
         self.requests += 1
-        if self.refuse_status:
-            return web.Response(status=self.refuse_status)
-        if CRASH_WORD in json.dumps(order['messages']):
+        if self.error_status:
+            return web.Response(status=self.error_status)
+        if CRASH_MARKER in json.dumps(payload['messages']):
             await self.crash()
-        key = (order['request'], order['attempt'])
+        key = (payload['request'], payload['attempt'])
         cancelled = self.running[key] = asyncio.Event()
         headers = {
             'Content-Type': 'text/event-stream',
@@ -83,7 +83,7 @@
         try:
             await response.prepare(request)
             async with self.slots:
-                await self._stream(order, response, cancelled)
+                await self._stream(payload, response, cancelled)
         except ConnectionError:
             # The entry has closed the connection; nobody reads on.
             return response
@@ -93,33 +93,33 @@
 
     async def _stream(
         self,
-        order: dict[str, t.Any],
+        payload: dict[str, t.Any],
         response: web.StreamResponse,
         cancelled: asyncio.Event,
     ) -> None:
-        prefix = order['prefix']
-        self.prefilled += len(json.dumps(order['messages'])) // 4
+        prefix = payload['prefix']
+        self.prefilled += len(json.dumps(payload['messages'])) // 4
         self.prefilled += len(prefix)
         if prefix:
             generation = prefix[0].partition(':')[0]
         else:
-            generation = f'{self.name}-{next(self.numbers)}'
-        stamp = {
-            'request': 'another' if self.crossed else order['request'],
-            'attempt': order['attempt'],
+            generation = f'{self.name}-{next(self.generation_numbers)}'
+        ids = {
+            'request': 'another' if self.crossed else payload['request'],
+            'attempt': payload['attempt'],
         }
-        for offset in range(len(prefix), order['max_tokens']):
+        for offset in range(len(prefix), payload['max_tokens']):
             await asyncio.sleep(self.gap_s)
             await self.thawed.wait()
             if cancelled.is_set():
                 return
             self.generated += 1
             token = f'{generation}:{offset} '
-            event = {**stamp, 'offset': offset, 'token': token}
+            event = {**ids, 'offset': offset, 'token': token}
             await response.write(b'data: %b\n\n' % json.dumps(event).encode())
         if self.drop_end_mark:
             return
-        event = {**stamp, 'offset': order['max_tokens'], 'finish': 'stop'}
+        event = {**ids, 'offset': payload['max_tokens'], 'finish': 'stop'}
         await response.write(b'data: %b\n\n' % json.dumps(event).encode())
 
     async def crash(self) -> None:
@@ -134,13 +134,13 @@
                 connection.transport.abort()
 
     async def _cancel(self, request: web.Request) -> web.Response:
-        order = await request.json()
-        running = self.running.get((order['request'], order['attempt']))
-        if running is not None:
-            running.set()
+        payload = await request.json()
+        cancelled = self.running.get((payload['request'], payload['attempt']))
+        if cancelled is not None:
+            cancelled.set()
         return web.Response()
 
-    async def _work(self, request: web.Request) -> web.Response:
+    async def _report_work(self, request: web.Request) -> web.Response:
         del request
         return web.json_response(
             {
--- a/src/bulrushhold/testing/_http.py
+++ b/src/bulrushhold/testing/_http.py
@@ -3,7 +3,7 @@
 from aiohttp import web
 
 
-class HttpStandIn:
+class FakeHttpServer:
     """Serves routes on 127.0.0.1.
 
     :param port: 0 takes one from the kernel; see ``address``.
--- a/src/bulrushhold/testing/_platform.py
+++ b/src/bulrushhold/testing/_platform.py
@@ -7,7 +7,7 @@
 from bulrushhold.testing import _http
 
 
-class PlatformService(_http.HttpStandIn):
+class PlatformService(_http.FakeHttpServer):
     """Serves the list that it is given; ``PUT /list`` replaces it."""
 
     def __init__(
@@ -25,13 +25,13 @@
 
     async def _read(self, request: web.Request) -> web.Response:
         body = msgspec.json.encode(self.platform)
-        tag = f'"{hash(body) & 0xFFFFFFFF:x}"'
-        if request.headers.get('If-None-Match') == tag:
+        etag = f'"{hash(body) & 0xFFFFFFFF:x}"'
+        if request.headers.get('If-None-Match') == etag:
             return web.Response(status=304)
         return web.Response(
             body=body,
             content_type='application/json',
-            headers={'ETag': tag},
+            headers={'ETag': etag},
         )
 
     async def _replace(self, request: web.Request) -> web.Response:
--- a/src/bulrushhold/testing/_ports.py
+++ b/src/bulrushhold/testing/_ports.py
@@ -8,6 +8,6 @@
     """Return distinct loopback ports that were free just now."""
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for item in sockets:
-            item.bind(('127.0.0.1', 0))
-        return [item.getsockname()[1] for item in sockets]
+        for sock in sockets:
+            sock.bind(('127.0.0.1', 0))
+        return [sock.getsockname()[1] for sock in sockets]
