--- a/bench/control.py
+++ b/bench/control.py
@@ -27,56 +27,56 @@
 from bulrushhold import settings
 from bulrushhold import testing
 
-SECONDS = 4.0
-CALLERS = 32
+MEASUREMENT_S = 4.0
+CLIENTS = 32
 ACCOUNTS = 100
 
 
-def rows(count: int) -> list[messages.Row]:
+def make_rows(count: int) -> list[messages.Row]:
     return [
         messages.Row(f'account{n}', 'chat', 1.0, 0.0, 0, 9.0, 0, True)
         for n in range(count)
     ]
 
 
-def claim() -> messages.Claim:
+def make_claim() -> messages.Claim:
     name = str(uuid_utils.uuid7())
     return messages.Claim(f'a/{name}', time.time(), 'f' * 32, name)
 
 
-async def rate(
-    ask: cabc.Callable[[t.Any], cabc.Awaitable[None]],
-    make: cabc.Callable[[], t.Any],
+async def measure_rate(
+    propose: cabc.Callable[[t.Any], cabc.Awaitable[None]],
+    make_command: cabc.Callable[[], t.Any],
 ) -> float:
     """Return commands a second by ``CALLERS`` callers at once."""
-    done = 0
-    end = time.monotonic() + SECONDS
+    completed = 0
+    deadline = time.monotonic() + MEASUREMENT_S
 
-    async def one() -> None:
-        nonlocal done
-        while time.monotonic() < end:
-            await ask(make())
-            done += 1
+    async def run_client() -> None:
+        nonlocal completed
+        while time.monotonic() < deadline:
+            await propose(make_command())
+            completed += 1
 
-    await asyncio.gather(*(one() for _ in range(CALLERS)))
-    return done / SECONDS
+    await asyncio.gather(*(run_client() for _ in range(CLIENTS)))
+    return completed / MEASUREMENT_S
 
 
-def local_rate(make: cabc.Callable[[], t.Any]) -> float:
+def measure_local_rate(make_command: cabc.Callable[[], t.Any]) -> float:
     """Return commands a second into one synced log, one a sync."""
     with tempfile.TemporaryDirectory() as folder:
         log = node.FileLog(folder)
         log.write_identity(node.Identity('c1'))
         log.load(messages.Config())
-        end = time.monotonic() + SECONDS / 2
+        deadline = time.monotonic() + MEASUREMENT_S / 2
         index = 0
-        while time.monotonic() < end:
+        while time.monotonic() < deadline:
             index += 1
-            data = messages.encode(make())
+            data = messages.encode(make_command())
             item = messages.LogEntry(index, 1, messages.KIND_COMMAND, data)
             log.save(1, '', [item])
         log.close()
-        return index / (SECONDS / 2)
+        return index / (MEASUREMENT_S / 2)
 
 
 async def measure_cluster(deployment: testing.Deployment) -> None:
@@ -85,38 +85,38 @@
     addresses = [f'127.0.0.1:{p}' for p in deployment.controls.values()]
     client = entry.ControlClient(addresses, transport)
 
-    async def ask(command: t.Any) -> None:
+    async def propose(command: t.Any) -> None:
         outcome = await client.propose(command, 10.0)
         if isinstance(outcome, messages.EditOutcome):
             assert outcome.accepted, outcome
 
     base = (await client.read(messages.TableRead(0, ''), 10.0)).revision
-    numbers = itertools.count()
+    row_numbers = itertools.count()
 
-    def edit() -> messages.TableEdit:
+    def make_edit() -> messages.TableEdit:
         """Add a row that nobody else does, so that the edit is accepted."""
-        number = next(numbers)
-        added = [attrs.evolve(rows(1)[0], account=f'new{number}')]
+        number = next(row_numbers)
+        added = [attrs.evolve(make_rows(1)[0], account=f'new{number}')]
         return messages.TableEdit(f'e{number}', base, '', 0.0, added)
 
     count = len(deployment.controls)
-    claims = await rate(ask, claim)
-    edits = await rate(ask, edit)
+    claims = await measure_rate(propose, make_claim)
+    edits = await measure_rate(propose, make_edit)
     print(f'{count} replicas: {claims:.0f} claims/s, {edits:.0f} edits/s')
-    waits = []
+    latencies = []
     for _ in range(200):
         started = time.monotonic()
-        await ask(claim())
-        waits.append(time.monotonic() - started)
-    waits.sort()
+        await propose(make_claim())
+        latencies.append(time.monotonic() - started)
+    latencies.sort()
     print(
-        f'  one caller: claim p50 {waits[100] * 1e3:.2f} ms, '
-        f'p95 {waits[190] * 1e3:.2f} ms'
+        f'  one caller: claim p50 {latencies[100] * 1e3:.2f} ms, '
+        f'p95 {latencies[190] * 1e3:.2f} ms'
     )
     await transport.close()
 
 
-def measure_start(count: int) -> None:
+def measure_startup(count: int) -> None:
     """Print how long a replica takes to be read after ``count`` edits."""
     with tempfile.TemporaryDirectory() as folder:
         address = settings.Address('127.0.0.1', 1)
@@ -128,7 +128,7 @@
         store.load(messages.Config())
         state = decisions.ReplicatedState()
         items = []
-        table = rows(ACCOUNTS)
+        table = make_rows(ACCOUNTS)
         for n in range(count):
             row = attrs.evolve(table[n % ACCOUNTS], weight=n + 1.0)
             edit = messages.TableEdit(
@@ -139,31 +139,33 @@
             items.append(
                 messages.LogEntry(n + 1, 1, messages.KIND_COMMAND, data)
             )
-        tail = count % config.snapshot_every
-        cut = count - tail
-        if cut:
+        tail_length = count % config.snapshot_every
+        snapshot_index = count - tail_length
+        if snapshot_index:
             snapshot = messages.InstallSnapshot(
-                1, '', cut, 1, messages.Config(), state.dump(), 0
+                1, '', snapshot_index, 1, messages.Config(), state.dump(), 0
             )
             store.save_snapshot(snapshot, [])
-        for first in range(cut, count, 100):
+        for first in range(snapshot_index, count, 100):
             store.save(1, '', items[first : first + 100])
         store.close()
         size = sum(p.stat().st_size for p in pathlib.Path(folder).iterdir())
         started = time.monotonic()
-        durable, _ = control.open_replica(config, node.FileLog(folder))
-        data = durable.snapshot.state if durable.snapshot else b''
+        persisted_state, _ = control.open_replica(config, node.FileLog(folder))
+        data = (
+            persisted_state.snapshot.state if persisted_state.snapshot else b''
+        )
         restored = decisions.ReplicatedState.restore(data)
-        for item in durable.entries:
+        for item in persisted_state.entries:
             restored.apply(item.data)
-        spent = time.monotonic() - started
+        elapsed_s = time.monotonic() - started
         print(
-            f'start after {count} edits of {ACCOUNTS} rows: {spent:.2f} s, '
-            f'{size / 2**20:.1f} MiB on disk'
+            f'start after {count} edits of {ACCOUNTS} rows: '
+            f'{elapsed_s:.2f} s, {size / 2**20:.1f} MiB on disk'
         )
 
 
-def measure_in_force() -> None:
+def measure_propagation() -> None:
     """Print the time from accept to in force, and the idle cost."""
     for count in (3, 6, 10):
         with tempfile.TemporaryDirectory() as folder:
@@ -172,17 +174,19 @@
             )
             try:
                 deployment.start()
-                spread = [time_to_force(deployment) for _ in range(5)]
-                idle = idle_cost(deployment)
+                propagation_s = [
+                    time_to_propagate(deployment) for _ in range(5)
+                ]
+                idle = measure_idle_cost(deployment)
             finally:
                 deployment.stop()
         print(
             f'{count} entries: in force everywhere after '
-            f'{min(spread):.2f} to {max(spread):.2f} s; {idle}'
+            f'{min(propagation_s):.2f} to {max(propagation_s):.2f} s; {idle}'
         )
 
 
-def time_to_force(deployment: testing.Deployment) -> float:
+def time_to_propagate(deployment: testing.Deployment) -> float:
     path = deployment.folder / 'edit.csv'
     deployment.cli('table', 'pull', str(path))
     text = path.read_text().replace(
@@ -191,33 +195,39 @@
     path.write_text(text)
     deployment.cli('table', 'push', str(path))
     started = time.monotonic()
-    wanted = deployment.status()['control']['revision']
+    target_revision = deployment.status()['control']['revision']
     while True:
-        known = [
+        revisions = [
             deployment.status(name)['table_revision']
             for name in deployment.http
         ]
-        if min(known) >= wanted:
+        if min(revisions) >= target_revision:
             return time.monotonic() - started
 
 
-def idle_cost(deployment: testing.Deployment, seconds: float = 5.0) -> str:
+def measure_idle_cost(
+    deployment: testing.Deployment, seconds: float = 5.0
+) -> str:
     leader = deployment.status()['control']['leader'].partition('.')[0]
     names = {'entry': 'e1', 'leader': leader}
-    parts = []
+    descriptions = []
     for role, name in names.items():
         process = psutil.Process(deployment.processes[name].pid)
         before = sum(process.cpu_times()[:2])
         time.sleep(seconds)
         share = (sum(process.cpu_times()[:2]) - before) / seconds
         rss = process.memory_info().rss / 2**20
-        parts.append(f'idle {role} {share:.2%} of a core, {rss:.1f} MiB')
-    return ', '.join(parts)
+        descriptions.append(
+            f'idle {role} {share:.2%} of a core, {rss:.1f} MiB'
+        )
+    return ', '.join(descriptions)
 
 
 def main() -> None:
     random.seed(1)
-    print(f'one local synced log: {local_rate(claim):.0f} claims/s')
+    print(
+        f'one local synced log: {measure_local_rate(make_claim):.0f} claims/s'
+    )
     for count in (1, 3, 5):
         with tempfile.TemporaryDirectory() as folder:
             deployment = testing.Deployment(
@@ -231,8 +241,8 @@
             finally:
                 deployment.stop()
     for count in (500, 50_000):
-        measure_start(count)
-    measure_in_force()
+        measure_startup(count)
+    measure_propagation()
 
 
 if __name__ == '__main__':
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -49,7 +49,7 @@
     timeout = aiohttp.ClientTimeout(total=None)
     connector = aiohttp.TCPConnector(limit=0)
 
-    async def one(number: int) -> None:
+    async def stream(number: int) -> None:
         body = {
             'model': MODEL,
             'messages': [{'role': 'user', 'content': f'prompt {number}'}],
@@ -69,7 +69,7 @@
     async with aiohttp.ClientSession(
         timeout=timeout, connector=connector
     ) as session:
-        await asyncio.gather(*(one(number) for number in range(streams)))
+        await asyncio.gather(*(stream(number) for number in range(streams)))
 
 
 def measure(
@@ -86,7 +86,7 @@
     return Cost(streams * tokens, cpu_seconds(processes) - before)
 
 
-async def bare_relay(port: int, to: int) -> None:
+async def bare_relay(port: int, upstream_port: int) -> None:
     """Copy bytes between connections, and do nothing else."""
 
     async def copy(
@@ -100,7 +100,7 @@
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        upstream = await asyncio.open_connection('127.0.0.1', to)
+        upstream = await asyncio.open_connection('127.0.0.1', upstream_port)
         await asyncio.gather(
             copy(reader, upstream[1]), copy(upstream[0], writer)
         )
@@ -123,9 +123,9 @@
 @main.command('bare')
 @click.argument('port', type=int)
 @click.argument('to', type=int)
-def run_bare(port: int, to: int) -> None:
+def run_relay(port: int, upstream_port: int) -> None:
     """Run the bare relay."""
-    asyncio.run(bare_relay(port, to))
+    asyncio.run(bare_relay(port, upstream_port))
 
 
 def compare(streams: int, tokens: int, rounds: int) -> None:
@@ -165,7 +165,7 @@
     )
     (port,) = testing.free_ports(1)
     engine = deployment.engines['m1']
-    bare = subprocess.Popen(
+    relay = subprocess.Popen(
         [sys.executable, __file__, 'bare', str(port), str(engine)]
     )
     try:
@@ -175,18 +175,20 @@
             'Content-Type': 'application/json',
         }
         for _ in range(rounds):
-            base = measure(
-                [bare.pid], f'127.0.0.1:{port}', streams, tokens, headers
+            relay_cost = measure(
+                [relay.pid], f'127.0.0.1:{port}', streams, tokens, headers
             )
-            ours = measure(pids, deployment.seeds[0], streams, tokens, headers)
-            ratio = ours.per_token_us / base.per_token_us
+            entry_cost = measure(
+                pids, deployment.seeds[0], streams, tokens, headers
+            )
+            ratio = entry_cost.per_token_us / relay_cost.per_token_us
             print(
-                f'  bare {base.per_token_us:.1f} us/token, all entries '
-                f'{ours.per_token_us:.1f} us/token, ratio {ratio:.2f}'
+                f'  bare {relay_cost.per_token_us:.1f} us/token, all entries '
+                f'{entry_cost.per_token_us:.1f} us/token, ratio {ratio:.2f}'
             )
     finally:
-        bare.kill()
-        bare.wait()
+        relay.kill()
+        relay.wait()
 
 
 if __name__ == '__main__':
--- a/bench/resume.py
+++ b/bench/resume.py
@@ -31,7 +31,7 @@
 
 GAP_S: t.Final = 0.05
 ENGINES: t.Final = 8
-PLAIN_SILENCE_S: t.Final = 2.0
+BASELINE_STALL_TIMEOUT_S: t.Final = 2.0
 PROMPT_CHARACTERS: t.Final = 800
 
 
@@ -39,15 +39,15 @@
 class Outcome:
     """What one way cost and how long its callers waited."""
 
-    waits: list[float] = attrs.field(factory=list)
-    whole: int = 0
+    latencies: list[float] = attrs.field(factory=list)
+    completed: int = 0
     refused: int = 0
     generated: int = 0
     prefilled: int = 0
     attempts: int = 0
 
 
-async def inject(engines: dict[str, testing.Engine]) -> None:
+async def inject_faults(engines: dict[str, testing.Engine]) -> None:
     """Crash one engine, freeze another, and slow a third one down."""
     await asyncio.sleep(1.0)
     await engines['m1'].crash()
@@ -61,22 +61,26 @@
     engines['m2'].thaw()
 
 
-def hit_waits(
-    tokens: list[str], at: list[float], lost: t.Collection[str]
+def find_resume_latency(
+    tokens: list[str],
+    received_at: list[float],
+    failed_engines: t.Collection[str],
 ) -> list[float]:
     """Return the longest wait of a stream that began on a lost engine."""
-    if tokens[0].partition('-')[0] not in lost:
+    if tokens[0].partition('-')[0] not in failed_engines:
         return []
-    return [max(b - a for a, b in zip(at, at[1:], strict=False))]
+    return [
+        max(b - a for a, b in zip(received_at, received_at[1:], strict=False))
+    ]
 
 
-def prompt_of(number: int) -> list[dict[str, str]]:
+def make_prompt(number: int) -> list[dict[str, str]]:
     """Return a prompt that differs from the others at its beginning."""
     text = f'brief {number} ' + 'x' * PROMPT_CHARACTERS
     return [{'role': 'user', 'content': text}]
 
 
-async def run_ours(
+async def run_entry(
     policy: str, streams: int, tokens: int, seed: int, *, faults: bool
 ) -> Outcome:
     """Run the streams through one entry."""
@@ -91,31 +95,33 @@
         await system.start(1, ENGINES, GAP_S)
         caller = system.client()
 
-        async def one(number: int) -> None:
+        async def run_stream(number: int) -> None:
             await asyncio.sleep(rng.random() * 0.5)
-            got: list[str] = []
-            at: list[float] = []
+            received: list[str] = []
+            received_at: list[float] = []
             try:
                 async for token in caller.generate(
-                    'small', prompt_of(number), max_tokens=tokens
+                    'small', make_prompt(number), max_tokens=tokens
                 ):
-                    got.append(token)
-                    at.append(time.monotonic())
+                    received.append(token)
+                    received_at.append(time.monotonic())
             except errors.RequestError:
                 outcome.refused += 1
                 return
-            conftest.assert_whole(got, tokens)
-            outcome.whole += 1
-            outcome.waits += hit_waits(got, at, ('m1', 'm2'))
+            conftest.assert_whole(received, tokens)
+            outcome.completed += 1
+            outcome.latencies += find_resume_latency(
+                received, received_at, ('m1', 'm2')
+            )
 
-        work = [one(number) for number in range(streams)]
-        await drive(work, system.engines, faults=faults)
-        count_work(outcome, system.engines)
+        coroutines = [run_stream(number) for number in range(streams)]
+        await drive(coroutines, system.engines, faults=faults)
+        collect_engine_work(outcome, system.engines)
         await system.stop()
     return outcome
 
 
-async def run_plain(
+async def run_baseline(
     streams: int, tokens: int, seed: int, *, faults: bool
 ) -> Outcome:
     """Run the streams with a restart from nothing after each loss."""
@@ -132,54 +138,62 @@
     ) as session:
         client = web.HttpEngineClient(session)
 
-        async def one(number: int) -> None:
+        async def run_stream(number: int) -> None:
             await asyncio.sleep(rng.random() * 0.5)
-            at: list[float] = []
-            first = ''
+            received_at: list[float] = []
+            first_engine = ''
             attempt = 0
             names = rng.sample(sorted(engines), ENGINES)
-            while len(at) < tokens:
+            while len(received_at) < tokens:
                 attempt += 1
                 name = names[attempt % ENGINES]
-                first = first or name
-                await try_once(client, engines[name], number, attempt, at)
-            outcome.whole += 1
-            outcome.waits += hit_waits([f'{first}-'], at, ('m1', 'm2'))
+                first_engine = first_engine or name
+                await run_attempt(
+                    client, engines[name], number, attempt, received_at
+                )
+            outcome.completed += 1
+            outcome.latencies += find_resume_latency(
+                [f'{first_engine}-'], received_at, ('m1', 'm2')
+            )
 
-        async def try_once(
+        async def run_attempt(
             client: web.HttpEngineClient,
             engine: testing.Engine,
             number: int,
             attempt: int,
-            at: list[float],
+            received_at: list[float],
         ) -> None:
-            heard = [time.monotonic()]
+            last_event_at = [time.monotonic()]
 
-            def take(event: ports.Event) -> bool:
-                heard[0] = time.monotonic()
-                if not event.finish and event.offset == len(at):
-                    at.append(heard[0])
+            def on_event(event: ports.Event) -> bool:
+                last_event_at[0] = time.monotonic()
+                if not event.finish and event.offset == len(received_at):
+                    received_at.append(last_event_at[0])
                 return not event.finish
 
-            order = ports.Generate(
-                f'r{number}', attempt, 'small', prompt_of(number), [],
+            request = ports.Generate(
+                f'r{number}', attempt, 'small', make_prompt(number), [],
                 tokens, 0, 10.0,
             )  # fmt: skip
             task = asyncio.ensure_future(
-                client.run(engine.address, order, take)
+                client.run(engine.address, request, on_event)
             )
             while not task.done():
-                left = heard[0] + PLAIN_SILENCE_S - time.monotonic()
-                if left <= 0:
+                remaining_s = (
+                    last_event_at[0]
+                    + BASELINE_STALL_TIMEOUT_S
+                    - time.monotonic()
+                )
+                if remaining_s <= 0:
                     task.cancel()
                     await client.cancel(engine.address, f'r{number}', attempt)
                     break
-                await asyncio.wait([task], timeout=left)
+                await asyncio.wait([task], timeout=remaining_s)
             await asyncio.gather(task, return_exceptions=True)
 
-        work = [one(number) for number in range(streams)]
-        await drive(work, engines, faults=faults)
-    count_work(outcome, engines)
+        coroutines = [run_stream(number) for number in range(streams)]
+        await drive(coroutines, engines, faults=faults)
+    collect_engine_work(outcome, engines)
     for engine in engines.values():
         engine.thaw()
         await engine.stop()
@@ -187,40 +201,45 @@
 
 
 async def drive(
-    work: list[t.Coroutine[t.Any, t.Any, None]],
+    coroutines: list[t.Coroutine[t.Any, t.Any, None]],
     engines: dict[str, testing.Engine],
     *,
     faults: bool,
 ) -> None:
     """Run the streams, with or without the faults."""
-    injected = asyncio.ensure_future(inject(engines)) if faults else None
-    await asyncio.gather(*work)
-    if injected is not None:
-        await injected
+    injection = (
+        asyncio.ensure_future(inject_faults(engines)) if faults else None
+    )
+    await asyncio.gather(*coroutines)
+    if injection is not None:
+        await injection
     # Let engines that just woke up see that they were cancelled.
     await asyncio.sleep(3 * GAP_S)
 
 
-def count_work(outcome: Outcome, engines: dict[str, testing.Engine]) -> None:
+def collect_engine_work(
+    outcome: Outcome, engines: dict[str, testing.Engine]
+) -> None:
     """Add up what the engines did."""
     outcome.generated = sum(e.generated for e in engines.values())
     outcome.prefilled = sum(e.prefilled for e in engines.values())
     outcome.attempts = sum(e.requests for e in engines.values())
 
 
-def report(name: str, clean: Outcome, faulty: Outcome) -> None:
+def report(name: str, baseline: Outcome, faulty: Outcome) -> None:
     """Print one way's figures."""
-    waits = sorted(faulty.waits)
-    p95 = waits[min(len(waits) - 1, int(0.95 * len(waits)))]
-    extra = faulty.generated / clean.generated - 1
-    total = clean.generated + clean.prefilled
-    work = (faulty.generated + faulty.prefilled) / total - 1
+    latencies = sorted(faulty.latencies)
+    p95 = latencies[min(len(latencies) - 1, int(0.95 * len(latencies)))]
+    extra = faulty.generated / baseline.generated - 1
+    total = baseline.generated + baseline.prefilled
+    extra_work = (faulty.generated + faulty.prefilled) / total - 1
     print(
-        f'{name}: whole {faulty.whole}, refused {faulty.refused}, '
-        f'hit {len(waits)}; resume p50 {statistics.median(waits):.2f} s, '
-        f'p95 {p95:.2f} s, max {waits[-1]:.2f} s; extra generated '
-        f'{extra:.1%}, with prefill {work:.1%}; further attempts '
-        f'{faulty.attempts - clean.attempts}'
+        f'{name}: whole {faulty.completed}, refused {faulty.refused}, '
+        f'hit {len(latencies)}; '
+        f'resume p50 {statistics.median(latencies):.2f} s, '
+        f'p95 {p95:.2f} s, max {latencies[-1]:.2f} s; extra generated '
+        f'{extra:.1%}, with prefill {extra_work:.1%}; further attempts '
+        f'{faulty.attempts - baseline.attempts}'
     )
 
 
@@ -233,12 +252,12 @@
     loguru.logger.remove()
     for policy in ('thrifty', 'prompt'):
         runs = [
-            asyncio.run(run_ours(policy, streams, tokens, seed, faults=f))
+            asyncio.run(run_entry(policy, streams, tokens, seed, faults=f))
             for f in (False, True)
         ]
         report(policy, *runs)
     runs = [
-        asyncio.run(run_plain(streams, tokens, seed, faults=f))
+        asyncio.run(run_baseline(streams, tokens, seed, faults=f))
         for f in (False, True)
     ]
     report('plain', *runs)
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -21,13 +21,13 @@
 ENTRIES: t.Final = 10
 ENGINES: t.Final = 20
 SLOTS: t.Final = 8
-PREFIXES: t.Final = 120
-CACHED: t.Final = 16
+PREFIX_COUNT: t.Final = 120
+CACHED_PREFIXES: t.Final = 16
 REPORT_LAG_S: t.Final = 2.0
-SECONDS: t.Final = 300.0
+DURATION_S: t.Final = 300.0
 SERVICE_S: t.Final = 4.0
 PREFILL_S: t.Final = 1.0
-LOAD: t.Final = 0.85
+UTILIZATION: t.Final = 0.85
 
 
 @attrs.define
@@ -43,14 +43,14 @@
         factory=collections.OrderedDict
     )
 
-    def has(self, prefix: str) -> bool:
+    def lookup_prefix(self, prefix: str) -> bool:
         """Look a prefix up, and keep it as the newest."""
-        known = prefix in self.cache
+        hit = prefix in self.cache
         self.cache[prefix] = None
         self.cache.move_to_end(prefix)
-        if len(self.cache) > CACHED:
+        if len(self.cache) > CACHED_PREFIXES:
             self.cache.popitem(last=False)
-        return known
+        return hit
 
 
 @attrs.define
@@ -81,16 +81,16 @@
             lambda *_: None
         )
 
-    def at(self, when: float, kind: str, data: t.Any) -> None:
+    def schedule(self, when: float, kind: str, data: t.Any) -> None:
         self.number += 1
         heapq.heappush(self.events, (when, self.number, kind, data))
 
     def run(self) -> Result:
-        self.at(0.0, 'arrive', None)
-        self.at(0.0, 'report', None)
+        self.schedule(0.0, 'arrive', None)
+        self.schedule(0.0, 'report', None)
         while self.events:
             now, _, kind, data = heapq.heappop(self.events)
-            if now > SECONDS:
+            if now > DURATION_S:
                 break
             getattr(self, kind)(now, data)
         return self.result
@@ -98,72 +98,74 @@
     def arrive(self, now: float, data: None) -> None:
         del data
         mean = SERVICE_S + PREFILL_S / 2
-        rate = LOAD * ENGINES * SLOTS / mean
-        self.at(now + self.rng.expovariate(rate), 'arrive', None)
-        rank = min(PREFIXES, int(self.rng.paretovariate(1.0)))
+        rate = UTILIZATION * ENGINES * SLOTS / mean
+        self.schedule(now + self.rng.expovariate(rate), 'arrive', None)
+        rank = min(PREFIX_COUNT, int(self.rng.paretovariate(1.0)))
         prefix = f'prefix {rank}'
-        caller = self.rng.randrange(ENTRIES)
-        engine = self.engines[self.choose(caller, prefix, now)]
-        engine.queue.append((now, prefix, caller))
-        self.start(engine, now)
+        entry = self.rng.randrange(ENTRIES)
+        engine = self.engines[self.choose(entry, prefix, now)]
+        engine.queue.append((now, prefix, entry))
+        self.start_queued(engine, now)
 
-    def start(self, engine: Engine, now: float) -> None:
+    def start_queued(self, engine: Engine, now: float) -> None:
         while engine.queue and engine.running < SLOTS:
-            arrived, prefix, caller = engine.queue.popleft()
+            arrived, prefix, entry = engine.queue.popleft()
             engine.running += 1
             self.result.waits.append(now - arrived)
-            spent = self.rng.expovariate(1 / SERVICE_S)
-            if engine.has(prefix):
+            service_s = self.rng.expovariate(1 / SERVICE_S)
+            if engine.lookup_prefix(prefix):
                 self.result.hits += 1
             else:
-                spent += PREFILL_S
-            self.at(now + spent, 'done', (engine.name, caller))
+                service_s += PREFILL_S
+            self.schedule(now + service_s, 'done', (engine.name, entry))
 
     def done(self, now: float, data: tuple[str, int]) -> None:
-        name, caller = data
+        name, entry = data
         engine = self.engines[name]
         engine.running -= 1
-        self.on_done(caller, name)
-        self.start(engine, now)
+        self.on_done(entry, name)
+        self.start_queued(engine, now)
 
     def report(self, now: float, data: None) -> None:
         del data
         loads = {
             e.name: e.running + len(e.queue) for e in self.engines.values()
         }
-        self.at(now + REPORT_LAG_S, 'reported', loads)
-        self.at(now + 1.0, 'report', None)
+        self.schedule(now + REPORT_LAG_S, 'reported', loads)
+        self.schedule(now + 1.0, 'report', None)
 
     def reported(self, now: float, loads: dict[str, int]) -> None:
         self.on_report(loads, now)
 
 
 def round_robin(seed: int) -> Result:
-    turns = [random.Random(n).randrange(ENGINES) for n in range(ENTRIES)]
+    next_engine = [random.Random(n).randrange(ENGINES) for n in range(ENTRIES)]
 
-    def choose(caller: int, prefix: str, now: float) -> str:
+    def choose(entry: int, prefix: str, now: float) -> str:
         del prefix, now
-        turns[caller] += 1
-        return f'm{turns[caller] % ENGINES}'
+        next_engine[entry] += 1
+        return f'm{next_engine[entry] % ENGINES}'
 
     return Simulation(choose, seed).run()
 
 
 def least_reported(seed: int) -> Result:
-    known = {f'm{n}': 0 for n in range(ENGINES)}
+    reported_loads = {f'm{n}': 0 for n in range(ENGINES)}
     rng = random.Random(seed)
 
-    def choose(caller: int, prefix: str, now: float) -> str:
-        del caller, prefix, now
-        least = min(known.values())
-        return rng.choice([n for n, load in known.items() if load == least])
+    def choose(entry: int, prefix: str, now: float) -> str:
+        del entry, prefix, now
+        least = min(reported_loads.values())
+        return rng.choice(
+            [n for n, load in reported_loads.items() if load == least]
+        )
 
     simulation = Simulation(choose, seed)
-    simulation.on_report = lambda loads, now: known.update(loads)
+    simulation.on_report = lambda loads, now: reported_loads.update(loads)
     return simulation.run()
 
 
-def ours(seed: int) -> Result:
+def decision_router(seed: int) -> Result:
     routers = [
         decisions.Router(random.Random(seed * 100 + n)) for n in range(ENTRIES)
     ]
@@ -176,14 +178,14 @@
     for router in routers:
         router.update(servers)
 
-    def choose(caller: int, prefix: str, now: float) -> str:
-        choice = routers[caller].choose_engine('s', prefix, now)
+    def choose(entry: int, prefix: str, now: float) -> str:
+        choice = routers[entry].choose_engine('s', prefix, now)
         assert choice.state is not None
         choice.state.own += 1
         return choice.chosen
 
-    def done(caller: int, name: str) -> None:
-        routers[caller].states[name].own -= 1
+    def done(entry: int, name: str) -> None:
+        routers[entry].states[name].own -= 1
 
     def report(loads: dict[str, int], now: float) -> None:
         for router in routers:
@@ -196,7 +198,7 @@
     return simulation.run()
 
 
-def weights(overload: float, seed: int) -> float:
+def measure_fairness(overload: float, seed: int) -> float:
     """Return the largest relative deviation of a share from its weight."""
     rng = random.Random(seed)
     shares = {f'a{n}': float(n % 4 + 1) for n in range(10)}
@@ -226,20 +228,20 @@
             tokens = rng.uniform(20, 180)
             number += 1
             heapq.heappush(running, (now + tokens / 50, number, ready, tokens))
-    everything = sum(served.values())
+    total_served = sum(served.values())
     return max(
-        abs(served[n] / everything / (w / total) - 1)
+        abs(served[n] / total_served / (w / total) - 1)
         for n, w in shares.items()
     )
 
 
 def main() -> None:
-    for name, way in (
+    for name, simulate in (
         ('round robin', round_robin),
         ('least reported load', least_reported),
-        ('ours', ours),
+        ('ours', decision_router),
     ):
-        results = [way(seed) for seed in range(3)]
+        results = [simulate(seed) for seed in range(3)]
         waits = sorted(w for r in results for w in r.waits)
         hits = sum(r.hits for r in results)
         print(
@@ -248,7 +250,7 @@
             f'{hits / len(waits):.1%} of {len(waits)}',
             flush=True,
         )
-    deviation = max(weights(2.0, seed) for seed in range(3))
+    deviation = max(measure_fairness(2.0, seed) for seed in range(3))
     print(
         f'one entry, 2x overload, 10 rows: largest deviation of a share '
         f'from its weight {deviation:.1%}'
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -29,19 +29,19 @@
 from bulrushhold import ports
 from bulrushhold import testing
 
-SECONDS: t.Final = 0.3
-SPREAD_S: t.Final = 4.0
+MEASUREMENT_S: t.Final = 0.3
+POLLING_S: t.Final = 4.0
 WANTED: t.Final = decisions.Wanted(8000, 4.5, 0.7)
 
 
-def cost_us(work: cabc.Callable[[], t.Any]) -> float:
+def cost_us(function: cabc.Callable[[], t.Any]) -> float:
     """Return processor microseconds of one call."""
-    work()
+    function()
     calls = 0
     started = time.process_time()
-    while time.process_time() - started < SECONDS:
+    while time.process_time() - started < MEASUREMENT_S:
         for _ in range(20):
-            work()
+            function()
         calls += 20
     return (time.process_time() - started) / calls * 1e6
 
@@ -50,24 +50,24 @@
     return psutil.Process().memory_info().rss / 2**20
 
 
-def line(name: str, figures: dict[int, float], unit: str) -> None:
-    listed = ', '.join(f'{size}: {cost:.2f}' for size, cost in figures.items())
+def print_costs(name: str, costs: dict[int, float], unit: str) -> None:
+    listed = ', '.join(f'{size}: {cost:.2f}' for size, cost in costs.items())
     print(f'{name} ({unit}): {listed}', flush=True)
 
 
-def row(number: int) -> messages.Row:
+def make_row(number: int) -> messages.Row:
     return messages.Row(f'account{number}', 'chat', 1.0, 0.0, 0, 9.0, 0, True)
 
 
-def instances(count: int) -> list[ports.Instance]:
+def make_instances(count: int) -> list[ports.Instance]:
     return [
         ports.Instance(f'e{n}', f'd{n % 12}', f'1:{n}', f'2:{n}')
         for n in range(count)
     ]
 
 
-def routing() -> None:
-    figures = {}
+def measure_routing() -> None:
+    costs = {}
     for count in (10, 100, 300, 600):
         router = decisions.Router(random.Random(1))
         router.update(
@@ -89,12 +89,12 @@
 
         for _ in range(5000):
             choose()
-        figures[count] = cost_us(choose)
-    line('choose an engine, by engines', figures, 'us a request')
+        costs[count] = cost_us(choose)
+    print_costs('choose an engine, by engines', costs, 'us a request')
 
 
-def placing() -> None:
-    looks, choices = {}, {}
+def measure_placement() -> None:
+    admission_costs, placement_costs = {}, {}
     for count in (18, 90, 600):
         placement = decisions.Placement(random.Random(1))
         placement.capacity = {'s': 88_000}
@@ -107,34 +107,36 @@
             ]
         )
         numbers = itertools.count()
-        looks[count] = cost_us(
+        admission_costs[count] = cost_us(
             lambda p=placement: p.estimate_capacity(
                 's', 0.0, wanted=WANTED, memory=8500
             )
         )
-        choices[count] = cost_us(
+        placement_costs[count] = cost_us(
             lambda p=placement, n=numbers: p.choose_engine(
                 's', 0.0, tokens=8000, part=str(next(n)), tried=set()
             )
         )
-    line('admission, one look, by engines', looks, 'us')
-    line('placing a prompt, by engines', choices, 'us')
+    print_costs('admission, one look, by engines', admission_costs, 'us')
+    print_costs('placing a prompt, by engines', placement_costs, 'us')
 
 
-def speeds() -> None:
-    news = {}
+def measure_engine_speeds() -> None:
+    report_costs = {}
     for count in (10, 67, 390):
         loads = decisions.LoadAggregator()
         placement = decisions.Placement(random.Random(1))
         placement.speeds.ran('s', 7.0, 0.0)
-        said = placement.load_report('e0', {}, 0.0)
+        report = placement.load_report('e0', {}, 0.0)
         for number in range(count):
-            told = attrs.evolve(said, entry=f'e{number}')
-            loads.take(told, 0.0)
-        news[count] = cost_us(
-            lambda b=loads, s=said: (b.take(s, 0.0), b.others('e1', 0))
+            entry_report = attrs.evolve(report, entry=f'e{number}')
+            loads.take(entry_report, 0.0)
+        report_costs[count] = cost_us(
+            lambda b=loads, s=report: (b.take(s, 0.0), b.others('e1', 0))
         )
-    line('one piece of news at the leader, by entries', news, 'us')
+    print_costs(
+        'one piece of news at the leader, by entries', report_costs, 'us'
+    )
     learned = decisions.EngineSpeeds()
     learned.ran('s', 7.0, 0.0)
     pauses = decisions.Pauses(0.2)
@@ -144,45 +146,47 @@
         2: cost_us(lambda: learned.token_s('s', WANTED, 1.0)),
         3: cost_us(lambda: learned.pause_s('s', WANTED, 1.0, 4.0)),
     }
-    line('0 a pause, 1 a batch of them, 2 reading, 3 pauses', costs, 'us')
+    print_costs(
+        '0 a pause, 1 a batch of them, 2 reading, 3 pauses', costs, 'us'
+    )
 
 
-def homes() -> None:
-    figures = {}
+def measure_rendezvous_hashing() -> None:
+    costs = {}
     for count in (10, 30, 100, 390):
-        entries = instances(count)
-        figures[count] = cost_us(
+        entries = make_instances(count)
+        costs[count] = cost_us(
             lambda e=entries: decisions.homes('account/key', e, 3)
         )
-    line('homes of a key, by entries', figures, 'us a look-up')
+    print_costs('homes of a key, by entries', costs, 'us a look-up')
 
 
-def quota() -> None:
-    figures = {}
+def measure_quota() -> None:
+    costs = {}
     limited = messages.Row('a', 'chat', 1.0, 1e6, 1000, 9.0, 0, True)
     for count in (10, 30, 100, 300):
         home = decisions.QuotaHome(-10.0)
-        asks = [
+        requests = [
             messages.QuotaAsk('a/chat', f'e{n}', 1.0, 9, 0, count)
             for n in range(count)
         ]
 
         def grant(
             home: decisions.QuotaHome = home,
-            asks: list[messages.QuotaAsk] = asks,
+            requests: list[messages.QuotaAsk] = requests,
         ) -> None:
-            for ask in asks:
-                home.grant(ask, limited, 1.0)
+            for request in requests:
+                home.grant(request, limited, 1.0)
 
-        figures[count] = cost_us(grant) / count
-    line('grant a lease, by holders of the row', figures, 'us a lease')
-    ask = messages.encode(asks[0])
+        costs[count] = cost_us(grant) / count
+    print_costs('grant a lease, by holders of the row', costs, 'us a lease')
+    request = messages.encode(requests[0])
     reply = messages.encode(messages.QuotaGrant(1.0, 1, 2.0))
-    print(f'lease renewal: {len(ask) + len(reply)} bytes of payload')
+    print(f'lease renewal: {len(request) + len(reply)} bytes of payload')
 
 
-def fair_queue() -> None:
-    figures = {}
+def measure_fair_queue() -> None:
+    costs = {}
     for count in (10, 70, 300):
         queue = decisions.FairQueue(1)
         for n in range(count):
@@ -193,12 +197,12 @@
             queue.push(name, 1.0, 100.0, name)
             queue.done(name, 100.0, 100.0, 1.0)
 
-        figures[count] = cost_us(turn)
-    line('one turn of the fair queue, by waiting rows', figures, 'us')
+        costs[count] = cost_us(turn)
+    print_costs('one turn of the fair queue, by waiting rows', costs, 'us')
 
 
-def copies() -> None:
-    figures = {}
+def measure_copies() -> None:
+    costs = {}
     for count in (1, 10, 90):
         store = decisions.CopyStore(60.0, 0.0)
         offsets = [0]
@@ -227,29 +231,31 @@
             if offsets[0] > 2000:
                 offsets[0] = 0
 
-        figures[count] = cost_us(turn) / count
+        costs[count] = cost_us(turn) / count
         size = offsets[1] / count
-    line('copy of one token, by streams in a batch', figures, 'us, both ends')
+    print_costs(
+        'copy of one token, by streams in a batch', costs, 'us, both ends'
+    )
     print(f'  {size:.0f} bytes of payload a token and copy in the last')
 
 
-def in_fresh_process(kind: str, count: int) -> float:
+def measure_in_subprocess(kind: str, count: int) -> float:
     """Return a memory figure that no earlier part has touched."""
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, '-m', 'bench.slopes', kind, str(count)],
         capture_output=True,
         text=True,
         check=True,
     )
-    return float(done.stdout)
+    return float(completed.stdout)
 
 
-def table_memory() -> None:
-    figures = {}
+def measure_table_memory() -> None:
+    costs = {}
     for count in (1000, 9000, 27000):
-        figures[count] = in_fresh_process('rows', count)
-    line('rows of the table in an entry, by rows', figures, 'MiB')
-    reply = messages.TableReply('done', '', 1, True, [row(1)])
+        costs[count] = measure_in_subprocess('rows', count)
+    print_costs('rows of the table in an entry, by rows', costs, 'MiB')
+    reply = messages.TableReply('done', '', 1, True, [make_row(1)])
     empty = messages.TableReply('done', '', 1, True, [])
     size = len(messages.encode(reply)) - len(messages.encode(empty))
     print(f'  {size} bytes a row on the wire')
@@ -257,15 +263,15 @@
 
 def print_row_memory(count: int) -> None:
     before = rss_mib()
-    kept = {item.key: item for item in map(row, range(count))}
-    print(rss_mib() - before + 0 * len(kept))
+    rows_by_key = {item.key: item for item in map(make_row, range(count))}
+    print(rss_mib() - before + 0 * len(rows_by_key))
 
 
-def claims() -> None:
-    figures = {}
+def measure_claim_memory() -> None:
+    costs = {}
     for count in (10_000, 50_000, 200_000):
-        figures[count] = in_fresh_process('claims', count)
-    line('claims held, by claims', figures, 'bytes each')
+        costs[count] = measure_in_subprocess('claims', count)
+    print_costs('claims held, by claims', costs, 'bytes each')
 
 
 def print_claim_memory(count: int) -> None:
@@ -279,7 +285,7 @@
     print((rss_mib() - before) * 2**20 / count)
 
 
-def spread() -> None:
+def measure_table_polling() -> None:
     """A real leader, polled for the table by simulated entries."""
     with tempfile.TemporaryDirectory() as folder:
         deployment = testing.Deployment(
@@ -287,37 +293,39 @@
         )
         try:
             deployment.start()
-            asyncio.run(poll_all(deployment))
+            asyncio.run(poll_table(deployment))
         finally:
             deployment.stop()
 
 
-async def poll_all(deployment: testing.Deployment) -> None:
+async def poll_table(deployment: testing.Deployment) -> None:
     addresses = [f'127.0.0.1:{p}' for p in deployment.controls.values()]
     leader = deployment.status()['control']['leader'].partition('.')[0]
     process = psutil.Process(deployment.processes[leader].pid)
-    shares = {}
+    cpu_percent = {}
     for count in (0, 10, 30, 100, 300):
-        free = iter(testing.free_ports(count)) if count else iter(())
-        transports = [node.ZmqTransport(f'127.0.0.1:{p}') for p in free]
+        free_ports = iter(testing.free_ports(count)) if count else iter(())
+        transports = [node.ZmqTransport(f'127.0.0.1:{p}') for p in free_ports]
         clients = [entry.ControlClient(addresses, t) for t in transports]
 
-        async def one(number: int, client: entry.ControlClient) -> None:
+        async def poll(number: int, client: entry.ControlClient) -> None:
             read = messages.TableRead(1, f's{number}', 0)
-            end = time.monotonic() + SPREAD_S
+            end = time.monotonic() + POLLING_S
             while time.monotonic() < end:
                 await client.read(read, 5.0)
                 await asyncio.sleep(1.0)
 
         before = sum(process.cpu_times()[:2])
         started = time.monotonic()
-        work = [one(n, c) for n, c in enumerate(clients)]
-        await asyncio.gather(asyncio.sleep(SPREAD_S), *work)
-        spent = sum(process.cpu_times()[:2]) - before
-        shares[count] = spent / (time.monotonic() - started) * 100
+        polls = [poll(n, c) for n, c in enumerate(clients)]
+        await asyncio.gather(asyncio.sleep(POLLING_S), *polls)
+        cpu_s = sum(process.cpu_times()[:2]) - before
+        cpu_percent[count] = cpu_s / (time.monotonic() - started) * 100
         for transport in transports:
             await transport.close()
-    line('leader, by entries polling each second', shares, '% of a core')
+    print_costs(
+        'leader, by entries polling each second', cpu_percent, '% of a core'
+    )
     rss = process.memory_info().rss / 2**20
     read = messages.encode(messages.TableRead(1, 'entry-100', 0))
     reply = messages.encode(messages.TableReply('done', '', 1))
@@ -334,21 +342,21 @@
     if sys.argv[1:2] == ['claims']:
         print_claim_memory(int(sys.argv[2]))
         return
-    usage = resource.getrlimit(resource.RLIMIT_NOFILE)
-    print(f'{os.cpu_count()} cores, {usage[0]} open files at most')
-    for part in (
-        routing,
-        placing,
-        speeds,
-        homes,
-        quota,
-        fair_queue,
-        copies,
-        table_memory,
-        claims,
-        spread,
+    open_file_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    print(f'{os.cpu_count()} cores, {open_file_limit[0]} open files at most')
+    for measure in (
+        measure_routing,
+        measure_placement,
+        measure_engine_speeds,
+        measure_rendezvous_hashing,
+        measure_quota,
+        measure_fair_queue,
+        measure_copies,
+        measure_table_memory,
+        measure_claim_memory,
+        measure_table_polling,
     ):
-        part()
+        measure()
 
 
 if __name__ == '__main__':
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -20,16 +20,16 @@
         async for token in caller.generate('small', PROMPT, max_tokens=30):
             tokens.append(token)
             if len(tokens) == 10:
-                busy = tokens[0].partition('-')[0]
-                print(f'10 tokens received; engine {busy} is killed now')
-                deployment.kill(busy, signal.SIGKILL)
-        spent = time.monotonic() - started
-        print(f'whole answer of {len(tokens)} tokens in {spent:.2f} s:')
+                engine = tokens[0].partition('-')[0]
+                print(f'10 tokens received; engine {engine} is killed now')
+                deployment.kill(engine, signal.SIGKILL)
+        elapsed_s = time.monotonic() - started
+        print(f'whole answer of {len(tokens)} tokens in {elapsed_s:.2f} s:')
         print('   ', ''.join(tokens))
-        answer = await caller.call(
+        response = await caller.call(
             'booking', 'slots', method='POST', body={'slot': 'oven-1 9:00'}
         )
-        print('booked:', answer.body.decode())
+        print('booked:', response.body.decode())
         print('the booking service ran:', deployment.booked())
 
 
@@ -41,8 +41,8 @@
         try:
             started = time.monotonic()
             deployment.start()
-            spent = time.monotonic() - started
-            print(f'3 control, 3 entry, 2 engines: ready in {spent:.1f} s')
+            elapsed_s = time.monotonic() - started
+            print(f'3 control, 3 entry, 2 engines: ready in {elapsed_s:.1f} s')
             asyncio.run(use(deployment))
             path = folder / 'table.csv'
             deployment.cli('table', 'pull', str(path))
