--- a/src/bulrushhold/emulator/__init__.py
+++ b/src/bulrushhold/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""Engines, entries and callers in emulated time, over the real decisions."""
+"""Simulator of engines and callers that runs the production decision code."""
 
 from bulrushhold.emulator._clock import EmulatedLoop
 from bulrushhold.emulator._clock import run
--- a/src/bulrushhold/emulator/_client.py
+++ b/src/bulrushhold/emulator/_client.py
@@ -1,4 +1,4 @@
-"""How an emulated entry reaches emulated engines."""
+"""A backend client that calls emulated engines in process."""
 
 import asyncio
 import typing as t
@@ -45,9 +45,9 @@
 
 
 class EmulatedClient(calls.BackendClient):
-    """Reaches engines by address, without any network.
+    """Backend client that looks engines up by address, without a network.
 
-    :param lengths: tokens of each request's answer, by what it is about.
+    :param lengths: response length in tokens, by prompt segment.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
     async def send(
         self, call: calls.Call, attempt: calls.Attempt
     ) -> calls.BackendAnswer:
-        """Send a call; see :class:`calls.BackendClient`."""
+        """Send a call and return its response."""
         engine = self.engines[attempt.address]
         await self._connect(engine, 'connect')
         if engine.ident != attempt.instance:
@@ -118,7 +118,7 @@
             raise errors.BackendError('refused', step, engine.address)
 
     async def alive(self, address: str, timeout: float) -> bool:
-        """Ask an engine whether it lives."""
+        """Return whether an engine is up."""
         engine = self.engines[address]
         if not engine.up and engine.unreachable:
             await asyncio.sleep(timeout)
@@ -126,7 +126,7 @@
         return engine.up
 
     async def parts_kept(self, address: str, timeout: float) -> frozenset[str]:
-        """Ask an engine what it keeps; see :class:`calls.BackendClient`."""
+        """Return the prompt segments in an engine's prefix cache."""
         engine = self.engines[address]
         await self._connect(engine, 'parts')
         return frozenset(engine.cached_segments)
@@ -134,7 +134,7 @@
     async def copy_run(
         self, call: calls.Call, source: str, target: str, timeout: float
     ) -> calls.RunCopy:
-        """Order a copy; see :class:`calls.BackendClient`."""
+        """Copy a run's KV cache to another engine."""
         engine = self.engines[source]
         await self._connect(engine, 'copy')
         run = next((r for r in engine.running if r.ident == call.ident), None)
@@ -146,12 +146,12 @@
         return calls.RunCopy(source, name)
 
     async def drop_copy(self, copy: calls.RunCopy, timeout: float) -> None:
-        """Free a copy."""
+        """Discard a KV cache copy on every engine."""
         for engine in self.engines.values():
             engine.copies.pop(copy.name, None)
 
     async def close(self) -> None:
-        """Do nothing: there are no connections."""
+        """Do nothing: the emulator holds no connections."""
 
 
 def _refusal(engine: _engine.Engine, status: int) -> _Answer:
--- a/src/bulrushhold/emulator/_clock.py
+++ b/src/bulrushhold/emulator/_clock.py
@@ -1,8 +1,7 @@
-"""An event loop whose time passes at once.
+"""An asyncio event loop on emulated time.
 
-Nothing outside takes part: whenever no callback is ready, the clock jumps to
-the next timer. A minute of an emulated system takes seconds, and the same
-seed gives the same run.
+When no callback is ready, the clock advances to the next timer without
+waiting. There is no I/O, so runs with the same seed are identical.
 """
 
 import asyncio
@@ -14,7 +13,7 @@
 
 
 class _EmulatedTimeSelector(selectors.SelectSelector):
-    """Lets no time pass but by moving the clock."""
+    """Advances the clock by the timeout instead of waiting for I/O."""
 
     now = 0.0
 
@@ -22,24 +21,26 @@
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError('all tasks wait for each other')
+            raise RuntimeError(
+                'deadlock: no task is ready and no timer is set'
+            )
         self.now += max(0.0, timeout)
         return []
 
 
 class EmulatedLoop(asyncio.SelectorEventLoop):
-    """An event loop on emulated time, from 0 seconds on."""
+    """Event loop on emulated time, which starts at 0 seconds."""
 
     def __init__(self) -> None:
         self.time_selector = _EmulatedTimeSelector()
         super().__init__(self.time_selector)
 
     def time(self) -> float:
-        """Return emulated seconds."""
+        """Return the emulated time in seconds."""
         return self.time_selector.now
 
 
 def run(main: cabc.Coroutine[t.Any, t.Any, T]) -> T:
-    """Run a coroutine to its end on emulated time."""
+    """Run a coroutine to completion on emulated time."""
     with asyncio.Runner(loop_factory=EmulatedLoop) as runner:
         return runner.run(main)
--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -1,4 +1,4 @@
-"""Entries over emulated engines, with the real decisions in between."""
+"""Entries that forward to emulated engines by the production decision code."""
 
 import asyncio
 import collections.abc as cabc
@@ -18,24 +18,28 @@
 from bulrushhold import routes
 
 SERVICE: t.Final = 'engines'
-# Until what one entry sees is known to all others.
+# Until the other entries receive a load report.
 LOAD_REPORT_DELAY_S: t.Final = 0.05
-# Until a platform lists an engine that came back.
+# Until the platform lists a restarted engine.
 LIST_LAG_S: t.Final = 0.8
-# Callers wait for a first event for as many times the aim.
+# Callers abandon a stream without a first event after this multiple of the
+# target latency.
 FIRST_EVENT_TIMEOUT_FACTOR: t.Final = 4
 
 
 @attrs.frozen
 class Load:
-    """Callers of streams.
-
-    :param per_s: streams a second.
-    :param prompt: mean tokens of a prompt.
-    :param output: mean tokens of an answer.
-    :param spread: of both, as a share of the mean.
-    :param aim_s: until the first event, as the route wants it.
-    :param gap_s: longest pause between events, likewise.
+    """Arrival rate, request sizes and latency objective of a workload.
+
+    :param streams_per_s: mean arrival rate.
+    :param duration_s: how long new streams arrive.
+    :param prompt_tokens: mean prompt length.
+    :param output_tokens: mean response length.
+    :param relative_stddev: standard deviation of both lengths, relative to
+        the mean.
+    :param target_latency_s: the route's objective for the first event.
+    :param max_gap_s: the route's limit for pauses between events.
+    :param timeout_s: deadline of a request, retries included.
     """
 
     streams_per_s: float
@@ -50,11 +54,12 @@
 
 @attrs.define
 class Outcome:
-    """What one caller got.
+    """Result of one caller's request.
 
-    :param arrived: at this moment.
-    :param first_s: from its first try to the first event.
-    :param ended: when it was whole.
+    :param arrived_at: time of the first attempt.
+    :param completed_at: time of the end of the response.
+    :param first_event_s: from the first attempt to the first event.
+    :param refused: the last attempt was rejected without having run.
     """
 
     arrived_at: float
@@ -65,7 +70,7 @@
     refused: bool = False
 
     def meets_objective(self, load: Load) -> bool:
-        """Whether the answer is whole, in time and without a long pause."""
+        """Return whether the response is complete and within the objective."""
         return (
             self.completed
             and self.first_event_s is not None
@@ -75,7 +80,7 @@
 
 
 def emulated_now() -> float:
-    """Return emulated seconds."""
+    """Return the emulated time in seconds."""
     return asyncio.get_running_loop().time()
 
 
@@ -155,7 +160,7 @@
             entry.apply_load_summary(now)
 
     def apply_load_summary(self, now: float) -> None:
-        """Take the news of all other entries."""
+        """Apply the load reports of all other entries."""
         summary = self.system.load_aggregator.others(
             self.name, self.summary_number
         )
@@ -169,7 +174,7 @@
 
 
 class System:
-    """Engines in three data centres, and entries that send to them."""
+    """Engines in three data centres and the entries that forward to them."""
 
     def __init__(
         self,
@@ -178,7 +183,7 @@
         seed: int,
     ) -> None:
         self.rng = random.Random(seed)
-        # Forwarding draws from the common source.
+        # The forwarding package uses the global random generator.
         random.seed(seed)
         self.engines = {}
         for number, profile in enumerate(profiles):
@@ -202,7 +207,7 @@
             engine.start()
 
     def list_engines(self) -> None:
-        """Have all entries know the engines as they are now."""
+        """Update every entry's backend list with the current engines."""
         listed = [
             messages.ListedBackend(
                 engine.ident,
@@ -219,7 +224,12 @@
     async def fail_data_centre(
         self, name: str, at: float, duration_s: float, *, unreachable: bool
     ) -> None:
-        """Crash all engines of a data centre, and start them again."""
+        """Crash all engines of a data centre, then restart them.
+
+        :param at: seconds until the crash.
+        :param duration_s: seconds between the crash and the restart.
+        :param unreachable: see :meth:`Engine.crash`.
+        """
         await asyncio.sleep(at)
         crashed = [e for e in self.engines.values() if e.data_centre == name]
         for engine in crashed:
@@ -231,7 +241,7 @@
         self.list_engines()
 
     async def simulate(self, load: Load) -> list[Outcome]:
-        """Have callers come, and return what each of them got."""
+        """Generate a workload and return the outcome of each request."""
         callers = []
         while emulated_now() < load.duration_s:
             await asyncio.sleep(self.rng.expovariate(load.streams_per_s))
@@ -295,7 +305,8 @@
         run = asyncio.ensure_future(
             forwarding.StreamRun(entry.parts, job, _Caller(outcome)).run()
         )
-        # Callers leave without a first event, and at the end of their time.
+        # Callers abandon a stream that has no first event, and any stream
+        # at its deadline.
         await asyncio.wait(
             {run},
             timeout=min(
--- a/tests/emulator/__init__.py
+++ b/tests/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Loads played over emulated engines, with the real decisions."""
+"""Simulated workloads on emulated engines with the production decisions."""
--- a/tests/emulator/conftest.py
+++ b/tests/emulator/conftest.py
@@ -1,4 +1,4 @@
-"""Emulated deployments: twelve engines in three data centres, ten entries."""
+"""Fixture for simulations with 12 engines in 3 data centres and 10 entries."""
 
 import asyncio
 import statistics
@@ -10,14 +10,21 @@
 
 ENGINES = 12
 ENTRIES = 10
-# At the basic engine's speed reading takes a third of the engines' time.
 LOAD = emulator.Load(streams_per_s=3.1, duration_s=24.0)
+# Start time, data centre, whether its engines become unreachable.
 OUTAGES = ((4.5, 'dc0', False), (11.0, 'dc1', True), (18.0, 'dc2', False))
 
 
 @attrs.frozen
 class Result:
-    """Shares of all streams, over some seeds."""
+    """Results averaged over the seeds.
+
+    :param within_objective: share of streams that met their objective.
+    :param completed: share of complete streams.
+    :param long_pauses: share of streams with a pause above the limit.
+    :param reads_per_prompt: prompt tokens read, relative to one read of each
+        prompt.
+    """
 
     within_objective: float
     completed: float
--- a/tests/emulator/test_speeds.py
+++ b/tests/emulator/test_speeds.py
@@ -1,8 +1,8 @@
-"""What callers get from engines of other speeds.
+"""Service level under data centre outages, for engines of different speeds.
 
-Data centres are lost every six seconds, one of them without a word. An entry
-that held the speeds of some engines as constants would leave slower ones
-while they live, read their prompts again, and so slow down all others.
+Guards against timeouts that assume a fixed engine speed: they would abandon
+slower engines that are healthy, and reading the prompts again elsewhere
+slows down all other streams.
 """
 
 import attrs
@@ -35,29 +35,29 @@
         scaled_profile(kv_capacity=2),
     ],
 )
-def test_where_half_is_used_nearly_all_are_served_in_time(simulate, profile):
+def test_most_streams_meet_objective_at_half_load(simulate, profile):
     result = simulate(profile)
     assert result.within_objective >= 0.8
     assert result.completed >= 0.95
     assert result.reads_per_prompt <= 1.25
 
 
-def test_at_twice_the_load_two_in_five_are_served_in_time(simulate):
+def test_two_in_five_streams_meet_objective_at_twice_the_load(simulate):
     load = emulator.Load(streams_per_s=6.2, duration_s=20.0)
     result = simulate(scaled_profile(), load)
     assert result.within_objective >= 0.4
 
 
 @pytest.mark.parametrize('step', [0.34, 0.5, 1, 3])
-def test_living_engines_are_not_left_for_being_slow(simulate, step):
-    # No engine is lost at all: each prompt is read once, and no stream has a
-    # pause from being moved.
+def test_healthy_engines_are_not_abandoned_for_being_slow(simulate, step):
+    # Without outages, each prompt is read once and no failover delays a
+    # stream.
     result = simulate(scaled_profile(step=step), outages=())
     assert result.reads_per_prompt <= 1.1
     assert result.long_pauses <= 0.03
 
 
-def test_the_same_seed_gives_the_same_run(simulate):
+def test_same_seed_gives_same_result(simulate):
     assert simulate(scaled_profile(), seeds=(7,)) == simulate(
         scaled_profile(), seeds=(7,)
     )
