--- a/src/bulrushhold/testing/__init__.py
+++ b/src/bulrushhold/testing/__init__.py
@@ -1,6 +1,6 @@
-"""Stand-ins for what the system serves, for tests and demos.
+"""Fake backend servers and a local deployment, for tests and demos.
 
-Each runs in a loop of its caller's, or as a process by
+Fakes run on the caller's event loop, or as a process of their own with
 ``python -m bulrushhold.testing KIND``.
 """
 
--- a/src/bulrushhold/testing/__main__.py
+++ b/src/bulrushhold/testing/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one stand-in as a process."""
+"""Command line that runs a fake backend server or platform list."""
 
 import asyncio
 import pathlib
@@ -13,7 +13,7 @@
 
 @click.group()
 def main() -> None:
-    """Run a stand-in until it is killed."""
+    """Run a fake service until it is killed."""
 
 
 @main.command('engine')
@@ -21,14 +21,14 @@
 @click.option('--port', required=True, type=int)
 @click.option('--gap-s', default=0.05)
 def run_engine(name: str, port: int, gap_s: float) -> None:
-    """Run a model engine."""
+    """Run a fake model engine."""
     asyncio.run(_serve(testing.Engine(name, port, gap_s=gap_s)))
 
 
 @main.command('booking')
 @click.option('--port', required=True, type=int)
 def run_booking(port: int) -> None:
-    """Run a booking service."""
+    """Run a fake booking service."""
     asyncio.run(_serve(testing.BookingService(port)))
 
 
@@ -36,7 +36,7 @@
 @click.option('--port', required=True, type=int)
 @click.option('--list', 'path', required=True, type=click.Path())
 def run_platform(port: int, path: str) -> None:
-    """Run the platform, with its list from a JSON file."""
+    """Serve a platform list from a JSON file."""
     platform = msgspec.json.decode(
         pathlib.Path(path).read_bytes(), type=ports.Platform
     )
--- a/src/bulrushhold/testing/_booking.py
+++ b/src/bulrushhold/testing/_booking.py
@@ -1,4 +1,4 @@
-"""A booking service that counts how often each slot was booked."""
+"""A fake booking service that counts the bookings of each slot."""
 
 import asyncio
 import collections
@@ -9,9 +9,11 @@
 
 
 class BookingService(_http.FakeHttpServer):
-    """Books slots, as often as it is asked to.
+    """Books slots without deduplication, so that repeated requests show.
 
-    :param delay_s: seconds from the booking to its answer.
+    :param delay_s: seconds from the booking to its response.
+    :ivar drop_response: abort the connection instead of responding.
+    :ivar wrong_request_id: respond with the ID of another request.
     """
 
     def __init__(self, port: int = 0, *, delay_s: float = 0.0) -> None:
--- a/src/bulrushhold/testing/_deployment.py
+++ b/src/bulrushhold/testing/_deployment.py
@@ -1,7 +1,4 @@
-"""A whole deployment on loopback, as processes, for demos and tests.
-
-The product starts no processes; this stand-in for an operator does.
-"""
+"""A complete deployment as processes on loopback, for demos and tests."""
 
 import json
 import os
@@ -30,11 +27,13 @@
 
 
 class Deployment:
-    """Control, entries, engines, a booking service and a platform list.
+    """Control servers, entries, engines, a booking service, a platform list.
 
     :param folder: for settings, data and logs.
     :param gap_s: seconds between an engine's tokens.
-    :param slots: requests that an engine runs well at once.
+    :param slots: slots per engine in the platform list.
+    :param entry_settings: merged into the settings of each entry.
+    :param control_settings: merged into the settings of each control server.
     """
 
     def __init__(
@@ -66,11 +65,11 @@
 
     @property
     def seeds(self) -> list[str]:
-        """Addresses of all entries."""
+        """HTTP addresses of all entries."""
         return [f'127.0.0.1:{port}' for port in self.http.values()]
 
     def start(self) -> None:
-        """Write all files, start all processes, push the first table."""
+        """Write settings, start all processes and push the initial table."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self.key_file.write_text(OPERATOR_KEY)
         self._write('platform.json', self.platform_list())
@@ -100,7 +99,11 @@
     def platform_list(
         self, leaving: t.Collection[str] = ()
     ) -> dict[str, t.Any]:
-        """Return the list, with some names marked as leaving."""
+        """Return the platform list.
+
+        :param leaving: names of entries and backend servers to mark as
+            leaving.
+        """
         centres = ('north', 'centre', 'south')
         entries = [
             {
@@ -136,7 +139,7 @@
         return {'entries': entries, 'backend_servers': servers}
 
     def start_engine(self, name: str) -> None:
-        """Start an engine."""
+        """Start an engine process."""
         self._start_fake(
             'engine',
             '--name',
@@ -149,7 +152,7 @@
         )
 
     def start_control(self, name: str) -> None:
-        """Start a control process."""
+        """Start a control server process."""
         path = self.folder / f'{name}.json'
         self._spawn(name, '-m', 'bulrushhold', 'control', '--settings', path)
 
@@ -159,14 +162,14 @@
         self._spawn(name, '-m', 'bulrushhold', 'entry', '--settings', path)
 
     def kill(self, name: str, signal_number: int = signal.SIGKILL) -> None:
-        """Send a process that this deployment started a signal."""
+        """Send a signal to a process; after ``SIGKILL``, wait for its exit."""
         process = self.processes[name]
         process.send_signal(signal_number)
         if signal_number == signal.SIGKILL:
             process.wait()
 
     def cli(self, *arguments: str) -> str:
-        """Run an operators' command, and return what it printed."""
+        """Run an operator command and return its standard output."""
         environment = {
             'BULRUSHHOLD_ENTRY': self.seeds[0],
             'BULRUSHHOLD_KEY_FILE': str(self.key_file),
@@ -174,28 +177,28 @@
         return self._command(*arguments, environment=environment)
 
     def await_port(self, port: int) -> None:
-        """Wait until a process listens."""
+        """Wait until a process accepts HTTP requests on a port."""
         self._wait_for_url(f'http://127.0.0.1:{port}/', any_status=True)
 
     def await_ready(self, names: t.Iterable[str] | None = None) -> None:
-        """Wait until entries are ready."""
+        """Wait until entries are ready, by default all of them."""
         for name in names or self.http:
             self._wait_for_url(f'http://127.0.0.1:{self.http[name]}/readyz')
 
     def booked(self) -> dict[str, int]:
-        """Return how often each slot was booked."""
+        """Return the number of bookings per slot."""
         url = f'http://127.0.0.1:{self.booking_port}/runs'
         with urllib.request.urlopen(url, timeout=5) as response:
             return json.load(response)
 
     def status(self, name: str = 'e1') -> dict[str, t.Any]:
-        """Return the status that an entry tells."""
+        """Return the status document of an entry."""
         url = f'http://127.0.0.1:{self.http[name]}/v1/status'
         with urllib.request.urlopen(url, timeout=10) as response:
             return json.load(response)
 
     def stop(self) -> None:
-        """End every process that was started here."""
+        """Kill all processes of this deployment."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -288,5 +291,7 @@
                 pass
             exited = [n for n, p in self.processes.items() if p.poll()]
             if exited or time.monotonic() > deadline:
-                raise RuntimeError(f'{url} did not come up; ended: {exited}')
+                raise RuntimeError(
+                    f'{url} is unavailable; exited processes: {exited}'
+                )
             time.sleep(0.02)
--- a/src/bulrushhold/testing/_engine.py
+++ b/src/bulrushhold/testing/_engine.py
@@ -1,4 +1,4 @@
-"""A model engine that streams tokens, and fails when told to."""
+"""A fake model engine with fault injection."""
 
 import asyncio
 import itertools
@@ -13,14 +13,19 @@
 
 
 class Engine(_http.FakeHttpServer):
-    """Streams tokens that tell which generation they belong to.
+    """Streams tokens that carry the ID of their generation.
 
-    Token ``i`` of a generation is ``<generation>:<i> ``. A fresh request
-    gets a new generation; one with a prefix goes on with the prefix's, as
-    a sampler would. A mixed answer therefore shows in its text.
+    Token ``i`` of a generation is ``<generation>:<i> ``. A new request gets
+    a new generation; a request with a prefix continues the generation of the
+    prefix. Tokens of different generations in one response are therefore
+    visible in its text.
 
     :param gap_s: seconds between tokens.
-    :param slots: streams at once; more wait their turn.
+    :param slots: concurrent streams; further ones are queued.
+    :ivar wrong_request_id: stamp events with the ID of another request.
+    :ivar omit_finish_event: end streams without the finish event.
+    :ivar error_status: HTTP status to reject requests with; 0 for none.
+    :ivar leaving: announce in responses that the engine is leaving.
     """
 
     generation_numbers = itertools.count(1)
@@ -57,11 +62,11 @@
         ]
 
     def freeze(self) -> None:
-        """Go silent, with all connections open."""
+        """Stop sending tokens but keep all connections open."""
         self.thawed.clear()
 
     def thaw(self) -> None:
-        """Go on as if nothing had been."""
+        """Resume sending tokens after :meth:`freeze`."""
         self.thawed.set()
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
@@ -85,7 +90,7 @@
             async with self.slots:
                 await self._stream(payload, response, cancelled)
         except ConnectionError:
-            # The entry has closed the connection; nobody reads on.
+            # The entry has closed the connection.
             return response
         finally:
             self.running.pop(key, None)
@@ -123,7 +128,7 @@
         await response.write(b'data: %b\n\n' % json.dumps(event).encode())
 
     async def crash(self) -> None:
-        """Die: drop every connection, and accept no more."""
+        """Abort all connections and stop listening."""
         runner, self.runner = self.runner, None
         assert runner is not None
         for site in list(runner.sites):
--- a/src/bulrushhold/testing/_http.py
+++ b/src/bulrushhold/testing/_http.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: an aiohttp server on a loopback port."""
+"""Base class of the fake services: an aiohttp server on loopback."""
 
 from aiohttp import web
 
@@ -6,7 +6,7 @@
 class FakeHttpServer:
     """Serves routes on 127.0.0.1.
 
-    :param port: 0 takes one from the kernel; see ``address``.
+    :param port: 0 selects a free port, see ``address``.
     """
 
     def __init__(self, port: int = 0) -> None:
@@ -15,15 +15,15 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """Host and port of the server."""
         return f'127.0.0.1:{self.port}'
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes; overridden by each stand-in."""
+        """Return the routes to serve."""
         raise NotImplementedError
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         app = web.Application()
         app.add_routes(self.routes())
         self.runner = web.AppRunner(
@@ -35,7 +35,7 @@
         self.port = self.runner.addresses[0][1]
 
     async def stop(self) -> None:
-        """Stop listening, and drop every connection."""
+        """Stop listening and close all connections."""
         if self.runner is not None:
             await self.runner.cleanup()
             self.runner = None
--- a/src/bulrushhold/testing/_platform.py
+++ b/src/bulrushhold/testing/_platform.py
@@ -1,4 +1,4 @@
-"""The platform's list, served with an entity tag."""
+"""A fake platform service that serves the list of entries and backends."""
 
 from aiohttp import web
 import msgspec
@@ -8,7 +8,7 @@
 
 
 class PlatformService(_http.FakeHttpServer):
-    """Serves the list that it is given; ``PUT /list`` replaces it."""
+    """Serves a platform list with an ETag; ``PUT /list`` replaces the list."""
 
     def __init__(
         self, platform: ports.Platform | None = None, port: int = 0
--- a/src/bulrushhold/testing/_ports.py
+++ b/src/bulrushhold/testing/_ports.py
@@ -1,11 +1,14 @@
-"""Ports from the kernel."""
+"""Allocation of free loopback ports."""
 
 import contextlib
 import socket
 
 
 def free_ports(count: int) -> list[int]:
-    """Return distinct loopback ports that were free just now."""
+    """Return distinct free loopback ports.
+
+    The ports are not reserved; another process may take one before its use.
+    """
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
         for sock in sockets:
