--- a/bench/control.py
+++ b/bench/control.py
@@ -1,6 +1,7 @@
-"""Control: edits and claims a second, start-up, spread and idle cost.
+"""Benchmark of the control servers.
 
-Real processes and real syncs on this machine's disk:
+Measures throughput of edits and claims, startup time, propagation time of
+edits and idle cost, with real processes and disk syncs:
 
     python -m bench.control
 """
@@ -48,7 +49,7 @@
     propose: cabc.Callable[[t.Any], cabc.Awaitable[None]],
     make_command: cabc.Callable[[], t.Any],
 ) -> float:
-    """Return commands a second by ``CALLERS`` callers at once."""
+    """Return commands per second with ``CLIENTS`` concurrent clients."""
     completed = 0
     deadline = time.monotonic() + MEASUREMENT_S
 
@@ -63,7 +64,7 @@
 
 
 def measure_local_rate(make_command: cabc.Callable[[], t.Any]) -> float:
-    """Return commands a second into one synced log, one a sync."""
+    """Return commands per second to a local log, with one sync per command."""
     with tempfile.TemporaryDirectory() as folder:
         log = node.FileLog(folder)
         log.write_identity(node.Identity('c1'))
@@ -94,7 +95,7 @@
     row_numbers = itertools.count()
 
     def make_edit() -> messages.TableEdit:
-        """Add a row that nobody else does, so that the edit is accepted."""
+        """Return an edit that adds a new row, so that no edits conflict."""
         number = next(row_numbers)
         added = [attrs.evolve(make_rows(1)[0], account=f'new{number}')]
         return messages.TableEdit(f'e{number}', base, '', 0.0, added)
@@ -110,14 +111,14 @@
         latencies.append(time.monotonic() - started)
     latencies.sort()
     print(
-        f'  one caller: claim p50 {latencies[100] * 1e3:.2f} ms, '
+        f'  one client: claim p50 {latencies[100] * 1e3:.2f} ms, '
         f'p95 {latencies[190] * 1e3:.2f} ms'
     )
     await transport.close()
 
 
 def measure_startup(count: int) -> None:
-    """Print how long a replica takes to be read after ``count`` edits."""
+    """Print how long it takes to load a replica's log of ``count`` edits."""
     with tempfile.TemporaryDirectory() as folder:
         address = settings.Address('127.0.0.1', 1)
         config = settings.Control(
@@ -166,7 +167,7 @@
 
 
 def measure_propagation() -> None:
-    """Print the time from accept to in force, and the idle cost."""
+    """Print the time until all entries have applied an edit, and idle cost."""
     for count in (3, 6, 10):
         with tempfile.TemporaryDirectory() as folder:
             deployment = testing.Deployment(
@@ -181,7 +182,7 @@
             finally:
                 deployment.stop()
         print(
-            f'{count} entries: in force everywhere after '
+            f'{count} entries: edits applied by all entries after '
             f'{min(propagation_s):.2f} to {max(propagation_s):.2f} s; {idle}'
         )
 
@@ -226,7 +227,7 @@
 def main() -> None:
     random.seed(1)
     print(
-        f'one local synced log: {measure_local_rate(make_claim):.0f} claims/s'
+        f'local log with sync: {measure_local_rate(make_claim):.0f} claims/s'
     )
     for count in (1, 3, 5):
         with tempfile.TemporaryDirectory() as folder:
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,6 +1,6 @@
-"""Processor time per relayed token, against a bare asyncio byte relay.
+"""Benchmark of CPU time per token, relative to a plain asyncio byte relay.
 
-Engines and callers are the same for both. Prints ratios of one run:
+Engines and callers are the same for both:
 
     python bench/relay.py [--streams N] [--tokens N] [--rounds N]
 """
@@ -25,19 +25,19 @@
 
 @attrs.frozen
 class Cost:
-    """What a run cost the process between callers and engines."""
+    """CPU time of the relaying processes in one run."""
 
     tokens: int
     cpu_s: float
 
     @property
     def per_token_us(self) -> float:
-        """Microseconds of processor time per token."""
+        """CPU microseconds per token."""
         return self.cpu_s / self.tokens * 1e6
 
 
 def cpu_seconds(processes: list[psutil.Process]) -> float:
-    """Return the processor seconds that processes have used."""
+    """Return the total CPU seconds of processes."""
     times = [process.cpu_times() for process in processes]
     return sum(used.user + used.system for used in times)
 
@@ -45,7 +45,7 @@
 async def drive(
     address: str, streams: int, tokens: int, headers: dict[str, str]
 ) -> None:
-    """Read ``streams`` answers of ``tokens`` tokens at once."""
+    """Read ``streams`` concurrent responses of ``tokens`` tokens each."""
     timeout = aiohttp.ClientTimeout(total=None)
     connector = aiohttp.TCPConnector(limit=0)
 
@@ -79,7 +79,7 @@
     tokens: int,
     headers: dict[str, str],
 ) -> Cost:
-    """Drive one address and return the cost of the processes."""
+    """Send the workload to an address and return the processes' CPU cost."""
     processes = [psutil.Process(pid) for pid in pids]
     before = cpu_seconds(processes)
     asyncio.run(drive(address, streams, tokens, headers))
@@ -87,7 +87,7 @@
 
 
 async def bare_relay(port: int, upstream_port: int) -> None:
-    """Copy bytes between connections, and do nothing else."""
+    """Forward bytes between connections without parsing them."""
 
     async def copy(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -115,7 +115,7 @@
 @click.option('--rounds', default=3)
 @click.pass_context
 def main(ctx: click.Context, streams: int, tokens: int, rounds: int) -> None:
-    """Measure, or run the bare relay."""
+    """Run the benchmark, or the byte relay as a subprocess of it."""
     if ctx.invoked_subcommand is None:
         compare(streams, tokens, rounds)
 
@@ -124,12 +124,12 @@
 @click.argument('port', type=int)
 @click.argument('to', type=int)
 def run_relay(port: int, upstream_port: int) -> None:
-    """Run the bare relay."""
+    """Run the byte relay."""
     asyncio.run(bare_relay(port, upstream_port))
 
 
 def compare(streams: int, tokens: int, rounds: int) -> None:
-    """Print the cost of entries, without and with copies, and ratios."""
+    """Print CPU costs and their ratio, without and with stream copies."""
     for copies in (0, 2):
         with tempfile.TemporaryDirectory() as folder:
             deployment = testing.Deployment(
@@ -154,7 +154,7 @@
     tokens: int,
     rounds: int,
 ) -> None:
-    """Alternate between the bare relay and the entry, and print both."""
+    """Alternate between the byte relay and the entry and print the costs."""
     names = [*deployment.http]
     pids = [deployment.processes[name].pid for name in names]
     idle = psutil.Process(pids[0]).memory_info().rss
--- a/bench/resume.py
+++ b/bench/resume.py
@@ -1,14 +1,14 @@
-"""Resume latency and extra engine work: thrifty, prompt and a plain way.
+"""Benchmark of resume latency and engine work after engine failures.
 
-The plain way asks another engine from nothing after a break or a fixed
-silence. All three meet the same faults in one run:
+Compares the recovery policies ``thrifty`` and ``prompt`` with a baseline
+that restarts the request on another engine after an error or a fixed stall
+timeout. All of them get the same faults:
 
     python -m bench.resume [--streams N] [--tokens N] [--seed N]
 
-Resume latency is the wait, in a stream whose engine was lost, from the
-token before the loss to the next token the caller hasn't had. Extra work is
-what engines did beyond a run without failures: generated tokens, and with
-prefill also the prompt and prefix tokens read.
+Resume latency is the longest pause between two new tokens in a stream that
+started on a failed engine. Extra work is relative to a run without faults:
+generated tokens, and with prefill also the prompt and prefix tokens read.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 
 @attrs.define
 class Outcome:
-    """What one way cost and how long its callers waited."""
+    """Resume latencies, responses and engine work of one run."""
 
     latencies: list[float] = attrs.field(factory=list)
     completed: int = 0
@@ -48,7 +48,7 @@
 
 
 async def inject_faults(engines: dict[str, testing.Engine]) -> None:
-    """Crash one engine, freeze another, and slow a third one down."""
+    """Crash one engine, freeze a second and slow down a third."""
     await asyncio.sleep(1.0)
     await engines['m1'].crash()
     await asyncio.sleep(0.6)
@@ -66,7 +66,10 @@
     received_at: list[float],
     failed_engines: t.Collection[str],
 ) -> list[float]:
-    """Return the longest wait of a stream that began on a lost engine."""
+    """Return the longest pause of a stream that began on a failed engine.
+
+    The list is empty for a stream that began on any other engine.
+    """
     if tokens[0].partition('-')[0] not in failed_engines:
         return []
     return [
@@ -75,7 +78,7 @@
 
 
 def make_prompt(number: int) -> list[dict[str, str]]:
-    """Return a prompt that differs from the others at its beginning."""
+    """Return a prompt with a unique prefix."""
     text = f'brief {number} ' + 'x' * PROMPT_CHARACTERS
     return [{'role': 'user', 'content': text}]
 
@@ -83,7 +86,7 @@
 async def run_entry(
     policy: str, streams: int, tokens: int, seed: int, *, faults: bool
 ) -> Outcome:
-    """Run the streams through one entry."""
+    """Run the streams through one entry with a recovery policy."""
     from tests import conftest
 
     rng = random.Random(seed)
@@ -124,7 +127,7 @@
 async def run_baseline(
     streams: int, tokens: int, seed: int, *, faults: bool
 ) -> Outcome:
-    """Run the streams with a restart from nothing after each loss."""
+    """Run the streams with a restart from the beginning after each failure."""
     rng = random.Random(seed)
     outcome = Outcome()
     engines = {
@@ -206,36 +209,36 @@
     *,
     faults: bool,
 ) -> None:
-    """Run the streams, with or without the faults."""
+    """Run the streams, optionally with faults."""
     injection = (
         asyncio.ensure_future(inject_faults(engines)) if faults else None
     )
     await asyncio.gather(*coroutines)
     if injection is not None:
         await injection
-    # Let engines that just woke up see that they were cancelled.
+    # Let resumed engines process the cancellation of their streams.
     await asyncio.sleep(3 * GAP_S)
 
 
 def collect_engine_work(
     outcome: Outcome, engines: dict[str, testing.Engine]
 ) -> None:
-    """Add up what the engines did."""
+    """Store the engines' total work in the outcome."""
     outcome.generated = sum(e.generated for e in engines.values())
     outcome.prefilled = sum(e.prefilled for e in engines.values())
     outcome.attempts = sum(e.requests for e in engines.values())
 
 
 def report(name: str, baseline: Outcome, faulty: Outcome) -> None:
-    """Print one way's figures."""
+    """Print the results of one policy."""
     latencies = sorted(faulty.latencies)
     p95 = latencies[min(len(latencies) - 1, int(0.95 * len(latencies)))]
     extra = faulty.generated / baseline.generated - 1
     total = baseline.generated + baseline.prefilled
     extra_work = (faulty.generated + faulty.prefilled) / total - 1
     print(
-        f'{name}: whole {faulty.completed}, refused {faulty.refused}, '
-        f'hit {len(latencies)}; '
+        f'{name}: complete {faulty.completed}, refused {faulty.refused}, '
+        f'affected {len(latencies)}; '
         f'resume p50 {statistics.median(latencies):.2f} s, '
         f'p95 {p95:.2f} s, max {latencies[-1]:.2f} s; extra generated '
         f'{extra:.1%}, with prefill {extra_work:.1%}; further attempts '
@@ -248,7 +251,7 @@
 @click.option('--tokens', default=100)
 @click.option('--seed', default=1)
 def main(streams: int, tokens: int, seed: int) -> None:
-    """Measure all three ways."""
+    """Compare both recovery policies with the baseline."""
     loguru.logger.remove()
     for policy in ('thrifty', 'prompt'):
         runs = [
@@ -260,7 +263,7 @@
         asyncio.run(run_baseline(streams, tokens, seed, faults=f))
         for f in (False, True)
     ]
-    report('plain', *runs)
+    report('baseline', *runs)
 
 
 if __name__ == '__main__':
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -1,10 +1,10 @@
-"""Routing and weights over the decision code, under load and stale reports.
+"""Simulation of request routing and weighted fair queueing.
 
     python -m bench.routing
 
-Entries route to engines by the real decisions; engines are queues with a
-cache of prompt prefixes. Load reports reach the entries 2 s late. The same
-arrivals go through round robin, least reported load, and ours.
+Compares the production router with round robin and least reported load on
+the same arrivals. Engines are queues with a cache of prompt prefixes; load
+reports reach the entries with a delay.
 """
 
 import collections
@@ -32,7 +32,7 @@
 
 @attrs.define
 class Engine:
-    """Requests running and waiting, and the prefixes in its cache."""
+    """Running and queued requests, and an LRU cache of prompt prefixes."""
 
     name: str
     running: int = 0
@@ -44,7 +44,7 @@
     )
 
     def lookup_prefix(self, prefix: str) -> bool:
-        """Look a prefix up, and keep it as the newest."""
+        """Return whether a prefix is cached, and mark it as last used."""
         hit = prefix in self.cache
         self.cache[prefix] = None
         self.cache.move_to_end(prefix)
@@ -55,16 +55,18 @@
 
 @attrs.define
 class Result:
-    """Waits in engines' queues, and cache hits."""
+    """Queueing times at the engines, and the number of cache hits."""
 
     waits: list[float] = attrs.field(factory=list)
     hits: int = 0
 
 
 class Simulation:
-    """One run of arrivals through one way of routing.
+    """Discrete event simulation of one routing policy.
 
-    :param choose: entry, prefix and time to engine name.
+    Events are handled by the method of the same name.
+
+    :param choose: returns an engine's name for an entry, prefix and time.
     """
 
     def __init__(
@@ -199,7 +201,10 @@
 
 
 def measure_fairness(overload: float, seed: int) -> float:
-    """Return the largest relative deviation of a share from its weight."""
+    """Return the largest relative deviation of a share from its weight.
+
+    :param overload: arrival rate relative to the capacity.
+    """
     rng = random.Random(seed)
     shares = {f'a{n}': float(n % 4 + 1) for n in range(10)}
     total = sum(shares.values())
@@ -239,7 +244,7 @@
     for name, simulate in (
         ('round robin', round_robin),
         ('least reported load', least_reported),
-        ('ours', decision_router),
+        ('bulrushhold', decision_router),
     ):
         results = [simulate(seed) for seed in range(3)]
         waits = sorted(w for r in results for w in r.waits)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,9 +1,9 @@
-"""Slopes: what each mechanism costs, at several sizes.
+"""Benchmark of how CPU and memory costs scale with the number of items.
 
     python -m bench.slopes
 
-Processor time is this process's own, of the decision code and codec; the
-part ``spread`` drives a real control process with simulated entries.
+CPU time is that of the decision code and the codec in this process. Table
+polling is measured on a real control server with simulated entries.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 def cost_us(function: cabc.Callable[[], t.Any]) -> float:
-    """Return processor microseconds of one call."""
+    """Return the CPU microseconds of one call."""
     function()
     calls = 0
     started = time.process_time()
@@ -90,7 +90,7 @@
         for _ in range(5000):
             choose()
         costs[count] = cost_us(choose)
-    print_costs('choose an engine, by engines', costs, 'us a request')
+    print_costs('choose an engine, by engines', costs, 'us per request')
 
 
 def measure_placement() -> None:
@@ -117,8 +117,10 @@
                 's', 0.0, tokens=8000, part=str(next(n)), tried=set()
             )
         )
-    print_costs('admission, one look, by engines', admission_costs, 'us')
-    print_costs('placing a prompt, by engines', placement_costs, 'us')
+    print_costs(
+        'capacity estimate for admission, by engines', admission_costs, 'us'
+    )
+    print_costs('placement of a prompt, by engines', placement_costs, 'us')
 
 
 def measure_engine_speeds() -> None:
@@ -134,9 +136,7 @@
         report_costs[count] = cost_us(
             lambda b=loads, s=report: (b.take(s, 0.0), b.others('e1', 0))
         )
-    print_costs(
-        'one piece of news at the leader, by entries', report_costs, 'us'
-    )
+    print_costs('load report at the leader, by entries', report_costs, 'us')
     learned = decisions.EngineSpeeds()
     learned.ran('s', 7.0, 0.0)
     pauses = decisions.Pauses(0.2)
@@ -147,7 +147,9 @@
         3: cost_us(lambda: learned.pause_s('s', WANTED, 1.0, 4.0)),
     }
     print_costs(
-        '0 a pause, 1 a batch of them, 2 reading, 3 pauses', costs, 'us'
+        '0 add a pause, 1 record pauses, 2 read speed, 3 pause estimate',
+        costs,
+        'us',
     )
 
 
@@ -158,7 +160,7 @@
         costs[count] = cost_us(
             lambda e=entries: decisions.homes('account/key', e, 3)
         )
-    print_costs('homes of a key, by entries', costs, 'us a look-up')
+    print_costs('home entries of a key, by entries', costs, 'us per lookup')
 
 
 def measure_quota() -> None:
@@ -179,7 +181,9 @@
                 home.grant(request, limited, 1.0)
 
         costs[count] = cost_us(grant) / count
-    print_costs('grant a lease, by holders of the row', costs, 'us a lease')
+    print_costs(
+        'grant a lease, by lease holders of the row', costs, 'us per lease'
+    )
     request = messages.encode(requests[0])
     reply = messages.encode(messages.QuotaGrant(1.0, 1, 2.0))
     print(f'lease renewal: {len(request) + len(reply)} bytes of payload')
@@ -198,7 +202,11 @@
             queue.done(name, 100.0, 100.0, 1.0)
 
         costs[count] = cost_us(turn)
-    print_costs('one turn of the fair queue, by waiting rows', costs, 'us')
+    print_costs(
+        'pop, push and complete in the fair queue, by waiting rows',
+        costs,
+        'us',
+    )
 
 
 def measure_copies() -> None:
@@ -234,13 +242,15 @@
         costs[count] = cost_us(turn) / count
         size = offsets[1] / count
     print_costs(
-        'copy of one token, by streams in a batch', costs, 'us, both ends'
+        'replicate one token, by streams in a batch',
+        costs,
+        'us, sender and receiver',
     )
-    print(f'  {size:.0f} bytes of payload a token and copy in the last')
+    print(f'  {size:.0f} bytes of payload per token at the largest batch')
 
 
 def measure_in_subprocess(kind: str, count: int) -> float:
-    """Return a memory figure that no earlier part has touched."""
+    """Measure memory in a new process, unaffected by earlier allocations."""
     completed = subprocess.run(
         [sys.executable, '-m', 'bench.slopes', kind, str(count)],
         capture_output=True,
@@ -254,11 +264,11 @@
     costs = {}
     for count in (1000, 9000, 27000):
         costs[count] = measure_in_subprocess('rows', count)
-    print_costs('rows of the table in an entry, by rows', costs, 'MiB')
+    print_costs('table memory in an entry, by rows', costs, 'MiB')
     reply = messages.TableReply('done', '', 1, True, [make_row(1)])
     empty = messages.TableReply('done', '', 1, True, [])
     size = len(messages.encode(reply)) - len(messages.encode(empty))
-    print(f'  {size} bytes a row on the wire')
+    print(f'  {size} bytes per row on the wire')
 
 
 def print_row_memory(count: int) -> None:
@@ -271,7 +281,7 @@
     costs = {}
     for count in (10_000, 50_000, 200_000):
         costs[count] = measure_in_subprocess('claims', count)
-    print_costs('claims held, by claims', costs, 'bytes each')
+    print_costs('memory of stored claims, by claims', costs, 'bytes per claim')
 
 
 def print_claim_memory(count: int) -> None:
@@ -286,7 +296,7 @@
 
 
 def measure_table_polling() -> None:
-    """A real leader, polled for the table by simulated entries."""
+    """Measure a leader that simulated entries poll for the table."""
     with tempfile.TemporaryDirectory() as folder:
         deployment = testing.Deployment(
             pathlib.Path(folder), entries=1, engines=1
@@ -331,7 +341,7 @@
     reply = messages.encode(messages.TableReply('done', '', 1))
     print(
         f'  leader RSS {rss:.1f} MiB; {len(read) + len(reply)} bytes of '
-        'payload a poll'
+        'payload per poll'
     )
 
 
@@ -343,7 +353,7 @@
         print_claim_memory(int(sys.argv[2]))
         return
     open_file_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
-    print(f'{os.cpu_count()} cores, {open_file_limit[0]} open files at most')
+    print(f'{os.cpu_count()} cores, {open_file_limit[0]} open files allowed')
     for measure in (
         measure_routing,
         measure_placement,
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,4 +1,4 @@
-"""Runs a small system on loopback, uses it, and stops it."""
+"""Run a small deployment on loopback, send requests to it and stop it."""
 
 import asyncio
 import pathlib
@@ -13,7 +13,7 @@
 
 
 async def use(deployment: testing.Deployment) -> None:
-    """Stream an answer through an engine's death, and book a slot."""
+    """Stream a response while its engine is killed, then book a slot."""
     async with client.Client('vendors', deployment.seeds) as caller:
         tokens: list[str] = []
         started = time.monotonic()
@@ -21,16 +21,18 @@
             tokens.append(token)
             if len(tokens) == 10:
                 engine = tokens[0].partition('-')[0]
-                print(f'10 tokens received; engine {engine} is killed now')
+                print(f'10 tokens received, killing engine {engine}')
                 deployment.kill(engine, signal.SIGKILL)
         elapsed_s = time.monotonic() - started
-        print(f'whole answer of {len(tokens)} tokens in {elapsed_s:.2f} s:')
+        print(
+            f'complete response of {len(tokens)} tokens in {elapsed_s:.2f} s:'
+        )
         print('   ', ''.join(tokens))
         response = await caller.call(
             'booking', 'slots', method='POST', body={'slot': 'oven-1 9:00'}
         )
         print('booked:', response.body.decode())
-        print('the booking service ran:', deployment.booked())
+        print('bookings per slot:', deployment.booked())
 
 
 def main() -> None:
