--- a/tests/platform/soak/__main__.py
+++ b/tests/platform/soak/__main__.py
@@ -20,12 +20,12 @@
     first, _, last = seeds.partition('-')
     failed = []
     for seed in range(int(first), int(last or first) + 1):
-        folder = tempfile.mkdtemp(prefix=f'soak-{seed}-', dir=keep or None)
-        with system.Network() as net:
-            soak = run.Run(seed, folder, net.number, seconds)
+        log_folder = tempfile.mkdtemp(prefix=f'soak-{seed}-', dir=keep or None)
+        with system.Network() as network:
+            soak = run.Run(seed, log_folder, network.number, seconds)
             report = asyncio.run(soak.play())
         click.echo(
-            f'seed {seed}: {report.served} of {report.asked} served, '
+            f'seed {seed}: {report.served} of {report.sent} served, '
             f'{len(report.faults)} faults, {len(report.broken)} broken'
         )
         for line in report.broken[:10]:
@@ -33,7 +33,7 @@
         if report.broken:
             failed.append(seed)
             click.echo(f'    faults: {", ".join(report.faults)}')
-            click.echo(f'    logs: {pathlib.Path(folder)}')
+            click.echo(f'    logs: {pathlib.Path(log_folder)}')
     click.echo(f'failed seeds: {failed or "none"}')
     sys.exit(bool(failed))
 
--- a/tests/platform/soak/run.py
+++ b/tests/platform/soak/run.py
@@ -14,14 +14,14 @@
 from tests.platform.soak import standins
 from tests.platform.soak import system
 
-KEY = 'key-1'
+API_KEY = 'key-1'
 MODEL_ENGINES = 6
-DESK_ENGINES = 3
-STREAM_S = 12.0
-PLAIN_S = 3.0
-PUT_EVERY_S = 0.4
-FAULT_EVERY_S = 0.5
-_BROKEN = (aiohttp.ClientError, OSError, TimeoutError)
+PLAIN_SERVERS = 3
+REQUEST_TIMEOUT_S = 12.0
+PLAIN_TIMEOUT_S = 3.0
+MAX_EDIT_INTERVAL_S = 0.4
+MEAN_FAULT_INTERVAL_S = 0.5
+_CONNECTION_ERRORS = (aiohttp.ClientError, OSError, TimeoutError)
 
 
 @attrs.define
@@ -29,7 +29,7 @@
     """What a run did and which promises it saw broken."""
 
     seed: int
-    asked: int = 0
+    sent: int = 0
     served: int = 0
     faults: list = attrs.field(factory=list)
     broken: list = attrs.field(factory=list)
@@ -38,110 +38,112 @@
 class Run:
     """One system, its callers, its operator and its faults."""
 
-    def __init__(self, seed, folder, net, seconds):
+    def __init__(self, seed, folder, network_number, seconds):
         self.rng = random.Random(seed)
         self.report = Report(seed)
         self.folder = folder
-        self.net = net
+        self.network_number = network_number
         self.seconds = seconds
-        self.seen = standins.Seen()
+        self.observations = standins.Observations()
         self.engines = [
-            standins.Engine('s-model', f'zone-{n % 3}', self.seen, self.rng)
+            standins.Engine(
+                's-model', f'zone-{n % 3}', self.observations, self.rng
+            )
             for n in range(MODEL_ENGINES)
         ] + [
-            standins.Engine('s-desk', f'zone-{n}', self.seen, self.rng)
-            for n in range(DESK_ENGINES)
+            standins.Engine('s-desk', f'zone-{n}', self.observations, self.rng)
+            for n in range(PLAIN_SERVERS)
         ]
         self.refused = []
         self.version = 1
         self.acknowledged = 0
-        self.numbers = 0
+        self.request_count = 0
         self.tasks = set()
 
     async def play(self):
         for engine in self.engines:
             await engine.start()
-        listing = standins.PlatformListServer(self.engines)
-        await listing.start()
-        base = 21000 + self.net * 40
+        platform_list = standins.PlatformListServer(self.engines)
+        await platform_list.start()
+        base = 21000 + self.network_number * 40
         self.system = system.System(
-            self.folder, listing.address, self.net, base
+            self.folder, platform_list.address, self.network_number, base
         )
-        timeout = aiohttp.ClientTimeout(total=STREAM_S)
+        timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
         try:
             async with aiohttp.ClientSession(timeout=timeout) as session:
                 self.session = session
                 self.system.start_all()
                 await self._put_until_acknowledged()
-                self.system.settle()
-                await self.system.ready(session)
-                await self._trouble()
-                await self._calm()
+                self.system.disable_bootstrap()
+                await self.system.wait_until_ready(session)
+                await self._run_with_faults()
+                await self._check_recovery()
         finally:
             for task in self.tasks:
                 task.cancel()
             await asyncio.gather(*self.tasks, return_exceptions=True)
             self.system.stop_all()
-            await listing.stop()
+            await platform_list.stop()
             for engine in self.engines:
                 await engine.stop()
-        self._check_runs()
+        self._check_executions()
         return self.report
 
-    async def _trouble(self):
-        end = time.monotonic() + self.seconds
-        operator = asyncio.ensure_future(self._operate(end))
-        faults = asyncio.ensure_future(self._break_things(end))
-        while time.monotonic() < end:
-            self._spawn(self._ask())
+    async def _run_with_faults(self):
+        deadline = time.monotonic() + self.seconds
+        operator = asyncio.ensure_future(self._edit_route_map(deadline))
+        faults = asyncio.ensure_future(self._inject_faults(deadline))
+        while time.monotonic() < deadline:
+            self._start_task(self._send_request())
             await asyncio.sleep(self.rng.expovariate(25))
         await asyncio.gather(operator, faults)
 
-    async def _calm(self):
+    async def _check_recovery(self):
         """All is mended: everything must be served again within seconds."""
         for engine in self.engines:
             engine.proxy.fault = ''
-            engine.grey = 0.0
+            engine.error_rate = 0.0
         for program in self.system.programs:
             self.system.signal(program, signal.SIGCONT)
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        self.system.restart_ended()
+        self.system.restart_exited()
         try:
-            await self.system.ready(self.session)
+            await self.system.wait_until_ready(self.session)
         except TimeoutError as error:
             self.report.broken.append(f'recover: {error}')
             return
         await asyncio.sleep(2.0)
         before = self.report.served
-        await asyncio.gather(*(self._ask() for _ in range(20)))
+        await asyncio.gather(*(self._send_request() for _ in range(20)))
         if self.report.served - before < 20:
             served = self.report.served - before
             self.report.broken.append(f'recover: {served} of 20 served')
-        await self._read_back(final=True)
+        await self._check_route_maps(final=True)
         for program in self.system.programs:
-            if program.own_ends:
+            if program.unexpected_exits:
                 self.report.broken.append(f'{program.name} ended by itself')
 
-    def _spawn(self, work):
+    def _start_task(self, work):
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     # Callers
 
-    async def _ask(self):
-        self.numbers += 1
-        number = self.numbers
+    async def _send_request(self):
+        self.request_count += 1
+        number = self.request_count
         kind = self.rng.choice(
-            (standins.STREAM_PATH, standins.ONCE_PATH, standins.READ_PATH)
+            (standins.STREAM_PATH, standins.UNSAFE_PATH, standins.SAFE_PATH)
         )
         ident = f'{self.report.seed}-{number}'
         target = f'{kind}{ident}?q=%2F{number}'
-        entry = self.rng.choice(self.system.of('entry'))
+        entry = self.rng.choice(self.system.programs_with_role('entry'))
         headers = {
             'Host': 'soak.example',
             'Bulrushhold-Request-Id': ident,
-            'Bulrushhold-Credential': KEY,
+            'Bulrushhold-Credential': API_KEY,
             'Bulrushhold-Deadline-Ms': '10000',
             'Bulrushhold-Hold': 'forged',
             'Bulrushhold-Tenant': 'forged',
@@ -149,17 +151,17 @@
         if kind == standins.STREAM_PATH:
             headers['Bulrushhold-Token-Counts'] = '800,40'
             headers['Bulrushhold-Prompt-Prefix'] = f'a:100,b{number}:700'
-        self.report.asked += 1
+        self.report.sent += 1
         url = self.system.url(entry, 'front', target)
         body = f'body {number}'.encode()
-        with contextlib.suppress(*_BROKEN):
+        with contextlib.suppress(*_CONNECTION_ERRORS):
             async with self.session.post(
                 yarl.URL(url, encoded=True), data=body, headers=headers
             ) as response:
                 data = await response.read()
-                self._check(kind, ident, target, body, response, data)
+                self._check_response(kind, ident, target, body, response, data)
 
-    def _check(self, kind, ident, target, body, response, data):
+    def _check_response(self, kind, ident, target, body, response, data):
         status = response.status
         if status in (503, 429, 408, 421):
             self.refused.append(ident)
@@ -172,31 +174,31 @@
         if response.headers.get('Bulrushhold-Request-Id') != ident:
             self.report.broken.append(f'mixed: {target}: wrong id')
         if kind == standins.STREAM_PATH:
-            wanted = b''.join(
-                standins.event(target, n)
-                for n in range(1, standins.EVENTS + 1)
+            expected = b''.join(
+                standins.encode_event(target, n)
+                for n in range(1, standins.EVENT_COUNT + 1)
             )
         else:
-            wanted = standins.answer(target, body)
-        if data != wanted:
+            expected = standins.make_body(target, body)
+        if data != expected:
             self.report.broken.append(
-                f'mixed: {target}: {len(data)} bytes of {len(wanted)}'
+                f'mixed: {target}: {len(data)} bytes of {len(expected)}'
             )
 
-    def _check_runs(self):
+    def _check_executions(self):
         for ident in self.refused:
-            if ident in self.seen.once:
+            if ident in self.observations.unsafe_executed:
                 self.report.broken.append(f'refused, but ran: {ident}')
-        for ident, runs in self.seen.runs.items():
-            if runs > 1 and ident in self.seen.once:
+        for ident, runs in self.observations.runs.items():
+            if runs > 1 and ident in self.observations.unsafe_executed:
                 self.report.broken.append(f'ran {runs} times: {ident}')
-        for target, name in self.seen.forged[:5]:
+        for target, name in self.observations.forged[:5]:
             self.report.broken.append(f'forged {name} at {target}')
 
     # The operator
 
-    def _document(self, version):
-        def route(number, prefix, kind, service, **more):
+    def _make_route_map(self, version):
+        def route(number, prefix, kind, service, **fields):
             return {
                 'name': f'r{number}',
                 'hostname': 'soak.example',
@@ -206,7 +208,7 @@
                 'target-latency-ms': 1000,
                 'service': service,
                 'max-attempts': 5,
-                **more,
+                **fields,
             }
 
         return {
@@ -219,24 +221,26 @@
                     's-model',
                     resumable=True,
                 ),
-                route(2, standins.ONCE_PATH, 'unsafe', 's-desk'),
-                route(3, standins.READ_PATH, 'safe', 's-desk'),
+                route(2, standins.UNSAFE_PATH, 'unsafe', 's-desk'),
+                route(3, standins.SAFE_PATH, 'safe', 's-desk'),
                 route(4, f'/v{version}/', 'safe', 's-desk'),
             ],
             'services': [
                 {'name': 's-model', 'engine': {'kv-capacity-tokens': 88000}},
                 {'name': 's-desk'},
             ],
-            'tenants': [{'name': 'vendors', 'api-keys': [KEY]}],
+            'tenants': [{'name': 'vendors', 'api-keys': [API_KEY]}],
         }
 
-    async def _put(self, version):
-        program = self.rng.choice(self.system.of('control'))
+    async def _put_route_map(self, version):
+        program = self.rng.choice(self.system.programs_with_role('control'))
         url = self.system.url(program, 'control', '/bulrushhold/Config.Put')
         timeout = aiohttp.ClientTimeout(total=1.0)
-        with contextlib.suppress(*_BROKEN):
+        with contextlib.suppress(*_CONNECTION_ERRORS):
             async with self.session.post(
-                url, data=json.dumps(self._document(version)), timeout=timeout
+                url,
+                data=json.dumps(self._make_route_map(version)),
+                timeout=timeout,
             ) as response:
                 if response.status == 200:
                     self.acknowledged = max(self.acknowledged, version)
@@ -248,83 +252,85 @@
         return False
 
     async def _put_until_acknowledged(self):
-        end = time.monotonic() + 20
-        while not await self._put(self.version):
-            if time.monotonic() > end:
+        deadline = time.monotonic() + 20
+        while not await self._put_route_map(self.version):
+            if time.monotonic() > deadline:
                 raise TimeoutError('no control process takes a route map')
             await asyncio.sleep(0.1)
 
-    async def _operate(self, end):
-        while time.monotonic() < end:
+    async def _edit_route_map(self, deadline):
+        while time.monotonic() < deadline:
             self.version += self.rng.randint(1, 3)
-            await self._put(self.version)
-            await self._read_back()
-            await asyncio.sleep(PUT_EVERY_S * self.rng.random())
-
-    async def _read_back(self, *, final=False):
-        floor = self.acknowledged
-        read = 0
-        for program in self.system.of('control'):
+            await self._put_route_map(self.version)
+            await self._check_route_maps()
+            await asyncio.sleep(MAX_EDIT_INTERVAL_S * self.rng.random())
+
+    async def _check_route_maps(self, *, final=False):
+        min_version = self.acknowledged
+        maps_read = 0
+        for program in self.system.programs_with_role('control'):
             url = self.system.url(
                 program, 'control', '/bulrushhold/Config.Get'
             )
             timeout = aiohttp.ClientTimeout(total=5.0 if final else 0.5)
-            with contextlib.suppress(*_BROKEN):
+            with contextlib.suppress(*_CONNECTION_ERRORS):
                 async with self.session.get(url, timeout=timeout) as response:
                     if response.status != 200:
                         continue
                     document = await response.json()
-                    read += 1
-                    if document['config-version'] < floor:
+                    maps_read += 1
+                    if document['config-version'] < min_version:
                         self.report.broken.append(
                             f'{program.name} shows an old map'
                         )
-        if final and not read:
+        if final and not maps_read:
             self.report.broken.append('the route map does not come back')
 
     # Faults
 
-    async def _break_things(self, end):
-        while time.monotonic() < end:
+    async def _inject_faults(self, deadline):
+        while time.monotonic() < deadline:
             fault = self.rng.choice(
                 (
                     self._kill,
                     self._pause,
                     self._terminate,
                     self._crash_engines,
-                    self._harm_connections,
-                    self._turn_grey,
+                    self._disturb_connections,
+                    self._return_errors,
                 )
             )
-            self._spawn(fault())
-            await asyncio.sleep(self.rng.expovariate(1 / FAULT_EVERY_S))
+            self._start_task(fault())
+            await asyncio.sleep(
+                self.rng.expovariate(1 / MEAN_FAULT_INTERVAL_S)
+            )
 
-    def _one(self):
+    def _pick_program(self):
         return self.rng.choice(self.system.programs)
 
-    def _note(self, what, of):
-        self.report.faults.append(f'{what} {of}')
+    def _record_fault(self, kind, target):
+        self.report.faults.append(f'{kind} {target}')
 
     async def _kill(self):
-        program = self._one()
-        self._note('kill', program.name)
+        program = self._pick_program()
+        self._record_fault('kill', program.name)
         self.system.signal(program, signal.SIGKILL)
         await asyncio.sleep(self.rng.random())
         self._restart(program)
 
     async def _terminate(self):
-        program = self._one()
-        self._note('terminate', program.name)
-        if program.stopped:
+        program = self._pick_program()
+        self._record_fault('terminate', program.name)
+        if program.paused:
             return
         self.system.signal(program, signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(5.0):
-                await self.system.ended(program)
+                await self.system.wait_for_exit(program)
                 self._restart(program)
                 return
         self.system.signal(program, signal.SIGKILL)
-        await self.system.ended(program)
+        await self.system.wait_for_exit(program)
         self._restart(program)
 
     def _restart(self, program):
@@ -332,31 +338,31 @@
             self.system.start(program)
 
     async def _pause(self):
-        program = self._one()
-        self._note('pause', program.name)
+        program = self._pick_program()
+        self._record_fault('pause', program.name)
         self.system.signal(program, signal.SIGSTOP)
         await asyncio.sleep(0.5 + 2 * self.rng.random())
         self.system.signal(program, signal.SIGCONT)
 
     async def _crash_engines(self):
         zone = f'zone-{self.rng.randrange(3)}'
-        self._note('crash', zone)
-        hit = [
+        self._record_fault('crash', zone)
+        crashed = [
             e
             for e in self.engines
             if e.zone == zone and e.service == 's-model'
         ]
-        for engine in hit:
+        for engine in crashed:
             engine.crash()
             engine.proxy.fault = 'refuse'
         await asyncio.sleep(self.rng.random())
-        for engine in hit:
+        for engine in crashed:
             engine.proxy.fault = ''
 
-    async def _harm_connections(self):
+    async def _disturb_connections(self):
         engine = self.rng.choice(self.engines)
         fault = self.rng.choice(('delay', 'silent', 'one_way', 'reset'))
-        self._note(fault, engine.ident)
+        self._record_fault(fault, engine.ident)
         if fault == 'reset':
             engine.proxy.reset()
             return
@@ -364,9 +370,9 @@
         await asyncio.sleep(self.rng.random())
         engine.proxy.fault = ''
 
-    async def _turn_grey(self):
+    async def _return_errors(self):
         engine = self.rng.choice(self.engines)
-        self._note('grey', engine.ident)
-        engine.grey = 0.5
+        self._record_fault('grey', engine.ident)
+        engine.error_rate = 0.5
         await asyncio.sleep(1.0)
-        engine.grey = 0.0
+        engine.error_rate = 0.0
--- a/tests/platform/soak/standins.py
+++ b/tests/platform/soak/standins.py
@@ -8,37 +8,37 @@
 from aiohttp import web
 import attrs
 
-EVENTS = 40
-EVENT_S = 0.01
+EVENT_COUNT = 40
+EVENT_INTERVAL_S = 0.01
 STREAM_PATH = '/stream/'
-ONCE_PATH = '/once/'
-READ_PATH = '/read/'
+UNSAFE_PATH = '/once/'
+SAFE_PATH = '/read/'
 
 
 @attrs.define
-class Seen:
+class Observations:
     """What engines saw of all requests, for the checks."""
 
     runs: dict = attrs.field(factory=dict)
     forged: list = attrs.field(factory=list)
     copies: set = attrs.field(factory=set)
-    once: set = attrs.field(factory=set)
+    unsafe_executed: set = attrs.field(factory=set)
 
 
 class Engine:
     """One backend server behind a proxy; speaks the platform's protocol."""
 
-    numbers = itertools.count(1)
+    incarnations = itertools.count(1)
 
-    def __init__(self, service, zone, seen, rng):
+    def __init__(self, service, zone, observations, rng):
         self.service = service
         self.zone = zone
-        self.seen = seen
+        self.observations = observations
         self.rng = rng
-        self.ident = f'i-{next(self.numbers)}'
+        self.ident = f'i-{next(self.incarnations)}'
         self.up = asyncio.Event()
         self.up.set()
-        self.grey = 0.0
+        self.error_rate = 0.0
         self.proxy = Proxy()
 
     async def start(self):
@@ -57,10 +57,12 @@
         """Lose all runs and come back as another incarnation."""
         self.proxy.reset()
         address = self.proxy.address
-        self.seen.copies = {c for c in self.seen.copies if c[0] != address}
-        self.ident = f'i-{next(self.numbers)}'
+        self.observations.copies = {
+            c for c in self.observations.copies if c[0] != address
+        }
+        self.ident = f'i-{next(self.incarnations)}'
 
-    def listed(self):
+    def to_json(self):
         return {
             'id': self.ident,
             'service': self.service,
@@ -75,9 +77,9 @@
         if request.path == '/bulrushhold/report':
             return web.json_response({'running': 0})
         if request.path == '/bulrushhold/kv-move':
-            order = await request.json()
-            self.seen.copies.add((order['target'], order['id']))
-            return web.json_response({'handle': order['id'], 'made': 1})
+            payload = await request.json()
+            self.observations.copies.add((payload['target'], payload['id']))
+            return web.json_response({'handle': payload['id'], 'made': 1})
         if request.path.startswith('/bulrushhold/'):
             return web.Response()
         headers = {'Bulrushhold-Request-Id': ident}
@@ -85,40 +87,40 @@
         if expected != self.ident:
             headers['Bulrushhold-Instance-Id'] = self.ident
             return web.Response(status=421, headers=headers)
-        self._look_for_forged(request)
+        self._record_forged_headers(request)
         copy = request.headers.get('Kv-From')
         if copy and (self.proxy.address, copy.split('/')[1]) not in (
-            self.seen.copies
+            self.observations.copies
         ):
             headers['Bulrushhold-Not-Run'] = '1'
             return web.Response(status=503, headers=headers)
         body = await request.read()
-        runs = self.seen.runs
+        runs = self.observations.runs
         runs[ident] = runs.get(ident, 0) + 1
-        if request.path.startswith(ONCE_PATH):
-            self.seen.once.add(ident)
+        if request.path.startswith(UNSAFE_PATH):
+            self.observations.unsafe_executed.add(ident)
         headers['Bulrushhold-Response-Stamp'] = f'{self.ident}.{ident}'
         if request.path.startswith(STREAM_PATH):
             return await self._stream(request, ident, headers)
         await asyncio.sleep(self.rng.random() * 0.02)
-        if self.rng.random() < self.grey:
+        if self.rng.random() < self.error_rate:
             return web.Response(status=500, headers=headers)
         return web.Response(
-            body=answer(request.raw_path, body), headers=headers
+            body=make_body(request.raw_path, body), headers=headers
         )
 
-    def _look_for_forged(self, request):
+    def _record_forged_headers(self, request):
         names = ('Bulrushhold-Credential', 'Bulrushhold-Hold')
         for name in names:
             if name in request.headers:
-                self.seen.forged.append((request.raw_path, name))
+                self.observations.forged.append((request.raw_path, name))
         if request.headers.get('Bulrushhold-Tenant') != 'vendors':
-            self.seen.forged.append((request.raw_path, 'account'))
+            self.observations.forged.append((request.raw_path, 'account'))
 
     async def _stream(self, request, ident, headers):
         backup = request.headers.get('Bulrushhold-Kv-Backup')
         if backup:
-            self.seen.copies.add((backup, ident))
+            self.observations.copies.add((backup, ident))
         response = web.StreamResponse(headers=headers)
         response.content_type = 'text/event-stream'
         response.enable_chunked_encoding()
@@ -126,18 +128,18 @@
         first = int(request.headers.get('Last-Event-Id', '0')) + 1
         # A caller that leaves closes the connection; there is nobody to tell.
         with contextlib.suppress(ConnectionError):
-            for number in range(first, EVENTS + 1):
-                await asyncio.sleep(EVENT_S)
-                await response.write(event(request.raw_path, number))
+            for number in range(first, EVENT_COUNT + 1):
+                await asyncio.sleep(EVENT_INTERVAL_S)
+                await response.write(encode_event(request.raw_path, number))
             await response.write_eof()
         return response
 
 
-def answer(target, body):
+def make_body(target, body):
     return b'answer to ' + target.encode() + b' ' + body
 
 
-def event(target, number):
+def encode_event(target, number):
     return f'id: {number}\ndata: {target} {number}\n\n'.encode()
 
 
@@ -146,7 +148,7 @@
 
     def __init__(self, engines):
         self.engines = engines
-        self.lag_s = 0.3
+        self.delay_s = 0.3
 
     async def start(self):
         app = web.Application()
@@ -162,8 +164,8 @@
         await self.runner.cleanup()
 
     async def _list(self, request):
-        items = [engine.listed() for engine in self.engines]
-        await asyncio.sleep(self.lag_s)
+        items = [engine.to_json() for engine in self.engines]
+        await asyncio.sleep(self.delay_s)
         items.append({'id': 7, 'state': 'odd'})
         body = json.dumps({'instances': items, 'next': None})
         return web.Response(text=body, content_type='application/json')
@@ -202,28 +204,30 @@
             writer.transport.abort()
             return
         try:
-            there, back = await asyncio.open_connection(*self.target)
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                *self.target
+            )
         except OSError:
             writer.transport.abort()
             return
-        self.connections |= {writer, back}
+        self.connections |= {writer, upstream_writer}
         try:
             await asyncio.gather(
-                self._pump(reader, back, towards=True),
-                self._pump(there, writer, towards=False),
+                self._pump(reader, upstream_writer, upstream=True),
+                self._pump(upstream_reader, writer, upstream=False),
             )
         finally:
-            self.connections -= {writer, back}
-            for end in (writer, back):
-                end.close()
+            self.connections -= {writer, upstream_writer}
+            for connection in (writer, upstream_writer):
+                connection.close()
 
-    async def _pump(self, reader, writer, *, towards):
+    async def _pump(self, reader, writer, *, upstream):
         with contextlib.suppress(OSError):
             while data := await reader.read(65536):
                 if self.fault == 'delay':
                     await asyncio.sleep(0.1)
                 while self.fault == 'silent' or (
-                    self.fault == 'one_way' and not towards
+                    self.fault == 'one_way' and not upstream
                 ):
                     await asyncio.sleep(0.05)
                 writer.write(data)
--- a/tests/platform/soak/system.py
+++ b/tests/platform/soak/system.py
@@ -13,11 +13,11 @@
 import attrs
 
 ROOT = pathlib.Path(__file__).parents[3]
-CONTROLS = 3
+CONTROL_COUNT = 3
 BASE_PORT = 21000
-NETWORKS = range(40, 250)
-CLAIM_HOST = 254
-ENTRIES = 4
+NETWORK_NUMBERS = range(40, 250)
+LOCK_HOST = 254
+ENTRY_COUNT = 4
 SETTINGS = """
 node-name = "{name}"
 ip = "{ip}"
@@ -53,9 +53,9 @@
     settings: pathlib.Path
     log: pathlib.Path
     process: subprocess.Popen | None = None
-    stopped: bool = False
-    ended_by_us: bool = False
-    own_ends: int = 0
+    paused: bool = False
+    exit_expected: bool = False
+    unexpected_exits: int = 0
 
 
 class Network:
@@ -68,16 +68,16 @@
     """
 
     def __init__(self):
-        for number in NETWORKS:
-            claim = socket.socket()
+        for number in NETWORK_NUMBERS:
+            lock_socket = socket.socket()
             try:
-                claim.bind((f'127.0.{number}.{CLAIM_HOST}', BASE_PORT))
+                lock_socket.bind((f'127.0.{number}.{LOCK_HOST}', BASE_PORT))
             except OSError:
-                claim.close()
+                lock_socket.close()
                 continue
             # Without it the address could be bound a second time.
-            claim.listen()
-            self.claim = claim
+            lock_socket.listen()
+            self.lock_socket = lock_socket
             self.number = number
             return
         raise RuntimeError('no loopback network is free')
@@ -86,7 +86,7 @@
         return self
 
     def __exit__(self, *error):
-        self.claim.close()
+        self.lock_socket.close()
 
 
 class System:
@@ -95,10 +95,10 @@
     :param net: number of the run's :class:`Network`.
     """
 
-    def __init__(self, folder, cloud, net, base=BASE_PORT):
+    def __init__(self, folder, cloud, network_number, base=BASE_PORT):
         self.folder = pathlib.Path(folder)
         self.cloud = cloud
-        self.net = net
+        self.network_number = network_number
         self.ports = {
             'front': base,
             'ready': base + 1,
@@ -108,13 +108,13 @@
             'internal_end': base + 25,
         }
         self.programs = []
-        for number in range(1, ENTRIES + 1):
-            if number <= CONTROLS:
+        for number in range(1, ENTRY_COUNT + 1):
+            if number <= CONTROL_COUNT:
                 self._add('control', number)
             self._add('entry', number)
 
     def _add(self, role, number):
-        ip = f'127.0.{self.net}.{number}'
+        ip = f'127.0.{self.network_number}.{number}'
         name = f'{role}-{number}'
         program = Program(
             role,
@@ -128,8 +128,8 @@
 
     def write_settings(self, program, *, bootstrap):
         seeds = ', '.join(
-            f'"127.0.{self.net}.{n}:{self.ports["control"]}"'
-            for n in range(1, CONTROLS + 1)
+            f'"127.0.{self.network_number}.{n}:{self.ports["control"]}"'
+            for n in range(1, CONTROL_COUNT + 1)
         )
         text = SETTINGS.format(
             name=program.name,
@@ -143,11 +143,11 @@
         )
         program.settings.write_text(text)
 
-    def of(self, role):
+    def programs_with_role(self, role):
         return [p for p in self.programs if p.role == role]
 
     def start(self, program):
-        program.ended_by_us = program.stopped = False
+        program.exit_expected = program.paused = False
         with open(program.log, 'ab') as log:
             program.process = subprocess.Popen(
                 [sys.executable, 'platform/run.py', program.role],
@@ -164,7 +164,7 @@
             # The first start reads its settings before they change.
             self.write_settings(program, bootstrap=True)
 
-    def settle(self):
+    def disable_bootstrap(self):
         for program in self.programs:
             self.write_settings(program, bootstrap=False)
 
@@ -172,24 +172,24 @@
         if program.process is None or program.process.poll() is not None:
             return
         if number == signal.SIGSTOP:
-            program.stopped = True
+            program.paused = True
         if number in (signal.SIGKILL, signal.SIGTERM):
-            program.ended_by_us = True
+            program.exit_expected = True
         if number == signal.SIGCONT:
-            program.stopped = False
+            program.paused = False
         program.process.send_signal(number)
 
-    async def ended(self, program):
+    async def wait_for_exit(self, program):
         """Wait for the end of a program that was told to stop."""
         while program.process.poll() is None:
             await asyncio.sleep(0.05)
 
-    def restart_ended(self):
+    def restart_exited(self):
         for program in self.programs:
             if program.process.poll() is None:
                 continue
-            if not program.ended_by_us:
-                program.own_ends += 1
+            if not program.exit_expected:
+                program.unexpected_exits += 1
             self.start(program)
 
     def stop_all(self):
@@ -204,9 +204,9 @@
     def url(self, program, port, path):
         return f'http://{program.ip}:{self.ports[port]}{path}'
 
-    async def ready(self, session, within_s=20.0):
-        end = time.monotonic() + within_s
-        for program in self.of('entry'):
+    async def wait_until_ready(self, session, within_s=20.0):
+        deadline = time.monotonic() + within_s
+        for program in self.programs_with_role('entry'):
             url = self.url(program, 'ready', '/bulrushhold/ready')
             while True:
                 with contextlib.suppress(
@@ -215,6 +215,6 @@
                     async with session.get(url) as response:
                         if response.status == 200:
                             break
-                if time.monotonic() > end:
+                if time.monotonic() > deadline:
                     raise TimeoutError(f'{program.name} is not ready')
                 await asyncio.sleep(0.1)
