--- a/tests/platform/soak/__init__.py
+++ b/tests/platform/soak/__init__.py
@@ -1,6 +1,5 @@
-"""A randomized soak of the real programs on one machine.
+"""Randomized soak test of the control servers and entries on one machine.
 
-``python -m tests.platform.soak --seeds 1-50`` starts control and entries as
-processes, plays faults from outside and checks the promises to callers
-and backend servers while it runs.
+``python -m tests.platform.soak --seeds 1-50`` starts them as processes,
+injects faults and checks the guarantees to callers and backend servers.
 """
--- a/tests/platform/soak/__main__.py
+++ b/tests/platform/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds by hand: ``python -m tests.platform.soak --seeds 1-50``."""
+"""Command line: ``python -m tests.platform.soak --seeds 1-50``."""
 
 import asyncio
 import pathlib
@@ -13,10 +13,12 @@
 
 @click.command()
 @click.option('--seeds', default='1-10', help='FIRST-LAST, or one seed.')
-@click.option('--seconds', default=8.0, help='Of trouble in each run.')
-@click.option('--keep', default='', help='Folder for logs of broken runs.')
+@click.option(
+    '--seconds', default=8.0, help='Duration of the faults in each run.'
+)
+@click.option('--keep', default='', help='Parent folder of the logs.')
 def main(seeds: str, seconds: float, keep: str) -> None:
-    """Play each seed, and name the promises that were broken."""
+    """Run the soak test for each seed and print the violated guarantees."""
     first, _, last = seeds.partition('-')
     failed = []
     for seed in range(int(first), int(last or first) + 1):
@@ -26,7 +28,7 @@
             report = asyncio.run(soak.play())
         click.echo(
             f'seed {seed}: {report.served} of {report.sent} served, '
-            f'{len(report.faults)} faults, {len(report.broken)} broken'
+            f'{len(report.faults)} faults, {len(report.broken)} violations'
         )
         for line in report.broken[:10]:
             click.echo(f'    {line}')
--- a/tests/platform/soak/run.py
+++ b/tests/platform/soak/run.py
@@ -1,4 +1,4 @@
-"""One seeded run: faults from outside, promises checked from outside."""
+"""One run of the soak test: workload, faults and checks from a seed."""
 
 import asyncio
 import contextlib
@@ -26,7 +26,7 @@
 
 @attrs.define
 class Report:
-    """What a run did and which promises it saw broken."""
+    """Requests, injected faults and violated guarantees of a run."""
 
     seed: int
     sent: int = 0
@@ -36,7 +36,11 @@
 
 
 class Run:
-    """One system, its callers, its operator and its faults."""
+    """Runs a system with callers, an operator and injected faults.
+
+    :param network_number: number of the run's :class:`system.Network`.
+    :param seconds: how long faults are injected.
+    """
 
     def __init__(self, seed, folder, network_number, seconds):
         self.rng = random.Random(seed)
@@ -100,7 +104,7 @@
         await asyncio.gather(operator, faults)
 
     async def _check_recovery(self):
-        """All is mended: everything must be served again within seconds."""
+        """Check that all requests are served again once the faults end."""
         for engine in self.engines:
             engine.proxy.fault = ''
             engine.error_rate = 0.0
@@ -122,7 +126,9 @@
         await self._check_route_maps(final=True)
         for program in self.system.programs:
             if program.unexpected_exits:
-                self.report.broken.append(f'{program.name} ended by itself')
+                self.report.broken.append(
+                    f'{program.name} exited unexpectedly'
+                )
 
     def _start_task(self, work):
         task = asyncio.ensure_future(work)
@@ -172,7 +178,7 @@
             return
         self.report.served += 1
         if response.headers.get('Bulrushhold-Request-Id') != ident:
-            self.report.broken.append(f'mixed: {target}: wrong id')
+            self.report.broken.append(f'mixed: {target}: wrong request ID')
         if kind == standins.STREAM_PATH:
             expected = b''.join(
                 standins.encode_event(target, n)
@@ -188,10 +194,10 @@
     def _check_executions(self):
         for ident in self.refused:
             if ident in self.observations.unsafe_executed:
-                self.report.broken.append(f'refused, but ran: {ident}')
+                self.report.broken.append(f'refused but executed: {ident}')
         for ident, runs in self.observations.runs.items():
             if runs > 1 and ident in self.observations.unsafe_executed:
-                self.report.broken.append(f'ran {runs} times: {ident}')
+                self.report.broken.append(f'executed {runs} times: {ident}')
         for target, name in self.observations.forged[:5]:
             self.report.broken.append(f'forged {name} at {target}')
 
@@ -247,7 +253,7 @@
                     return True
                 if 400 <= response.status < 500:
                     self.report.broken.append(
-                        f'valid map {version}: {response.status}'
+                        f'valid route map {version}: {response.status}'
                     )
         return False
 
@@ -255,7 +261,7 @@
         deadline = time.monotonic() + 20
         while not await self._put_route_map(self.version):
             if time.monotonic() > deadline:
-                raise TimeoutError('no control process takes a route map')
+                raise TimeoutError('no control server accepted the route map')
             await asyncio.sleep(0.1)
 
     async def _edit_route_map(self, deadline):
@@ -281,10 +287,12 @@
                     maps_read += 1
                     if document['config-version'] < min_version:
                         self.report.broken.append(
-                            f'{program.name} shows an old map'
+                            f'{program.name} returned an outdated route map'
                         )
         if final and not maps_read:
-            self.report.broken.append('the route map does not come back')
+            self.report.broken.append(
+                'no control server returned the route map'
+            )
 
     # Faults
 
@@ -372,7 +380,7 @@
 
     async def _return_errors(self):
         engine = self.rng.choice(self.engines)
-        self._record_fault('grey', engine.ident)
+        self._record_fault('errors', engine.ident)
         engine.error_rate = 0.5
         await asyncio.sleep(1.0)
         engine.error_rate = 0.0
--- a/tests/platform/soak/standins.py
+++ b/tests/platform/soak/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the soak: engines, the platform's list, a faulty proxy."""
+"""Fakes for the soak test: backend servers, platform list, faulty proxy."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,13 @@
 
 @attrs.define
 class Observations:
-    """What engines saw of all requests, for the checks."""
+    """Requests that the engines received, for the checks.
+
+    :param runs: number of executions, by request ID.
+    :param forged: requests with headers that only the entries may set.
+    :param copies: existing KV cache copies, as address and request ID.
+    :param unsafe_executed: IDs of executed requests that must not be repeated.
+    """
 
     runs: dict = attrs.field(factory=dict)
     forged: list = attrs.field(factory=list)
@@ -26,7 +32,10 @@
 
 
 class Engine:
-    """One backend server behind a proxy; speaks the platform's protocol."""
+    """Fake backend server behind a proxy that speaks the platform's protocol.
+
+    :ivar error_rate: share of plain requests answered with status 500.
+    """
 
     incarnations = itertools.count(1)
 
@@ -54,7 +63,7 @@
         await self.runner.cleanup()
 
     def crash(self):
-        """Lose all runs and come back as another incarnation."""
+        """Drop all requests and copies and start a new incarnation."""
         self.proxy.reset()
         address = self.proxy.address
         self.observations.copies = {
@@ -126,7 +135,7 @@
         response.enable_chunked_encoding()
         await response.prepare(request)
         first = int(request.headers.get('Last-Event-Id', '0')) + 1
-        # A caller that leaves closes the connection; there is nobody to tell.
+        # The caller may close the connection at any time.
         with contextlib.suppress(ConnectionError):
             for number in range(first, EVENT_COUNT + 1):
                 await asyncio.sleep(EVENT_INTERVAL_S)
@@ -144,7 +153,7 @@
 
 
 class PlatformListServer:
-    """Lists engines, late and with items of other writers."""
+    """Serves the platform list, delayed and with an invalid item."""
 
     def __init__(self, engines):
         self.engines = engines
@@ -172,10 +181,10 @@
 
 
 class Proxy:
-    """A loopback proxy whose connections misbehave.
+    """A loopback proxy that injects connection faults.
 
-    ``fault`` is ``''``, ``delay``, ``silent`` (nothing passes, no reset),
-    ``one_way`` (only towards the target) or ``refuse``.
+    :ivar fault: ``''``, ``delay``, ``silent`` (no data passes), ``one_way``
+        (data passes towards the target only) or ``refuse``.
     """
 
     def __init__(self):
--- a/tests/platform/soak/system.py
+++ b/tests/platform/soak/system.py
@@ -1,4 +1,4 @@
-"""The real programs as processes, each with a loopback address."""
+"""Control servers and entries as processes with loopback addresses."""
 
 import asyncio
 import contextlib
@@ -45,7 +45,12 @@
 
 @attrs.define
 class Program:
-    """One process and what the soak did to it."""
+    """One process and its state.
+
+    :param paused: stopped by ``SIGSTOP``.
+    :param exit_expected: received a signal that ends it.
+    :param unexpected_exits: how often it ended without such a signal.
+    """
 
     role: str
     name: str
@@ -59,12 +64,12 @@
 
 
 class Network:
-    """A part of the loopback addresses that no other run uses.
+    """Exclusive use of a range of loopback addresses.
 
-    Two runs on the same addresses share the ports' queues: each one's
-    callers, engines and faults reach processes of the other.
+    Prevents concurrent runs from sharing addresses, where requests and
+    faults of one run would reach processes of the other.
 
-    :ivar number: third part of the addresses.
+    :ivar number: third octet of the addresses.
     """
 
     def __init__(self):
@@ -75,12 +80,12 @@
             except OSError:
                 lock_socket.close()
                 continue
-            # Without it the address could be bound a second time.
+            # A listening socket prevents a second bind.
             lock_socket.listen()
             self.lock_socket = lock_socket
             self.number = number
             return
-        raise RuntimeError('no loopback network is free')
+        raise RuntimeError('no free loopback network')
 
     def __enter__(self):
         return self
@@ -90,9 +95,11 @@
 
 
 class System:
-    """Three control processes and four entries.
+    """The control servers and entries of one run.
 
-    :param net: number of the run's :class:`Network`.
+    :param cloud: address of the platform list.
+    :param network_number: number of the run's :class:`Network`.
+    :param base: first port.
     """
 
     def __init__(self, folder, cloud, network_number, base=BASE_PORT):
@@ -161,7 +168,7 @@
     def start_all(self):
         for program in self.programs:
             self.start(program)
-            # The first start reads its settings before they change.
+            # The process may not have read its settings yet.
             self.write_settings(program, bootstrap=True)
 
     def disable_bootstrap(self):
@@ -180,7 +187,7 @@
         program.process.send_signal(number)
 
     async def wait_for_exit(self, program):
-        """Wait for the end of a program that was told to stop."""
+        """Wait until a program has exited."""
         while program.process.poll() is None:
             await asyncio.sleep(0.05)
 
