--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -78,14 +78,14 @@
                 for n in range(count)
             ]
         )
-        turns = itertools.cycle(range(5000))
+        indices = itertools.cycle(range(5000))
 
         def choose(
             router: decisions.Router = router,
-            turns: cabc.Iterator[int] = turns,
+            indices: cabc.Iterator[int] = indices,
         ) -> None:
-            turn = next(turns)
-            router.choose_engine('s', f'prompt {turn}', turn / 11)
+            index = next(indices)
+            router.choose_engine('s', f'prompt {index}', index / 11)
 
         for _ in range(5000):
             choose()
@@ -196,12 +196,12 @@
         for n in range(count):
             queue.push(f'a{n}', 1.0, 100.0, f'a{n}')
 
-        def turn(queue: decisions.FairQueue = queue) -> None:
+        def serve_next(queue: decisions.FairQueue = queue) -> None:
             name = queue.pop(lambda _: True)
             queue.push(name, 1.0, 100.0, name)
             queue.done(name, 100.0, 100.0, 1.0)
 
-        costs[count] = cost_us(turn)
+        costs[count] = cost_us(serve_next)
     print_costs(
         'pop, push and complete in the fair queue, by waiting rows',
         costs,
@@ -215,7 +215,7 @@
         store = decisions.CopyStore(60.0, 0.0)
         offsets = [0]
 
-        def turn(
+        def replicate_batch(
             count: int = count,
             store: decisions.CopyStore = store,
             offsets: list[int] = offsets,
@@ -239,7 +239,7 @@
             if offsets[0] > 2000:
                 offsets[0] = 0
 
-        costs[count] = cost_us(turn) / count
+        costs[count] = cost_us(replicate_batch) / count
         size = offsets[1] / count
     print_costs(
         'replicate one token, by streams in a batch',
