--- a/examples/demo.py
+++ b/examples/demo.py
@@ -21,7 +21,7 @@
             tokens.append(token)
             if len(tokens) == 10:
                 engine = tokens[0].partition('-')[0]
-                print(f'10 tokens received, killing engine {engine}')
+                print(f'10 tokens received; killing engine {engine} now')
                 deployment.kill(engine, signal.SIGKILL)
         elapsed_s = time.monotonic() - started
         print(
--- a/tests/platform/soak/run.py
+++ b/tests/platform/soak/run.py
@@ -38,7 +38,7 @@
 class Run:
     """Runs a system with callers, an operator and injected faults.
 
-    :param network_number: number of the run's :class:`system.Network`.
+    :param network_number: number of the run's :class:`system.LoopbackNetwork`.
     :param seconds: how long faults are injected.
     """
 
--- a/tests/platform/soak/system.py
+++ b/tests/platform/soak/system.py
@@ -98,7 +98,7 @@
     """The control servers and entries of one run.
 
     :param cloud: address of the platform list.
-    :param network_number: number of the run's :class:`Network`.
+    :param network_number: number of the run's :class:`LoopbackNetwork`.
     :param base: first port.
     """
 
