--- a/bench/relay.py
+++ b/bench/relay.py
@@ -122,7 +122,7 @@
 
 @main.command('bare')
 @click.argument('port', type=int)
-@click.argument('to', type=int)
+@click.argument('upstream_port', type=int)
 def run_relay(port: int, upstream_port: int) -> None:
     """Run the byte relay."""
     asyncio.run(bare_relay(port, upstream_port))
