--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -222,15 +222,20 @@
             entry.placement.update(listed)
 
     async def fail_data_centre(
-        self, name: str, at: float, duration_s: float, *, unreachable: bool
+        self,
+        name: str,
+        start_s: float,
+        duration_s: float,
+        *,
+        unreachable: bool,
     ) -> None:
         """Crash all engines of a data centre, then restart them.
 
-        :param at: seconds until the crash.
+        :param start_s: seconds until the crash.
         :param duration_s: seconds between the crash and the restart.
         :param unreachable: see :meth:`Engine.crash`.
         """
-        await asyncio.sleep(at)
+        await asyncio.sleep(start_s)
         crashed = [e for e in self.engines.values() if e.data_centre == name]
         for engine in crashed:
             engine.crash(unreachable=unreachable)
--- a/tests/emulator/conftest.py
+++ b/tests/emulator/conftest.py
@@ -37,10 +37,10 @@
     faults = [
         asyncio.ensure_future(
             system.fail_data_centre(
-                data_centre, at, 1.2, unreachable=unreachable
+                data_centre, start_s, 1.2, unreachable=unreachable
             )
         )
-        for at, data_centre, unreachable in outages
+        for start_s, data_centre, unreachable in outages
     ]
     outcomes = await system.simulate(load)
     for fault in faults:
--- a/tests/platform/soak/run.py
+++ b/tests/platform/soak/run.py
@@ -130,8 +130,8 @@
                     f'{program.name} exited unexpectedly'
                 )
 
-    def _start_task(self, work):
-        task = asyncio.ensure_future(work)
+    def _start_task(self, coroutine):
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
--- a/tests/platform/soak/standins.py
+++ b/tests/platform/soak/standins.py
@@ -134,10 +134,10 @@
         response.content_type = 'text/event-stream'
         response.enable_chunked_encoding()
         await response.prepare(request)
-        first = int(request.headers.get('Last-Event-Id', '0')) + 1
+        first_number = int(request.headers.get('Last-Event-Id', '0')) + 1
         # The caller may close the connection at any time.
         with contextlib.suppress(ConnectionError):
-            for number in range(first, EVENT_COUNT + 1):
+            for number in range(first_number, EVENT_COUNT + 1):
                 await asyncio.sleep(EVENT_INTERVAL_S)
                 await response.write(encode_event(request.raw_path, number))
             await response.write_eof()
