--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,4 +1,4 @@
-"""Runs a small system on loopback, uses it, and stops it."""
+"""Run a small deployment on loopback, send requests to it and stop it."""
 
 import asyncio
 import pathlib
@@ -13,24 +13,26 @@
 
 
 async def use(deployment: testing.Deployment) -> None:
-    """Stream an answer through an engine's death, and book a slot."""
+    """Stream a response while its engine is killed, then book a slot."""
     async with client.Client('vendors', deployment.seeds) as caller:
         tokens: list[str] = []
         started = time.monotonic()
         async for token in caller.generate('small', PROMPT, max_tokens=30):
             tokens.append(token)
             if len(tokens) == 10:
-                busy = tokens[0].partition('-')[0]
-                print(f'10 tokens received; engine {busy} is killed now')
-                deployment.kill(busy, signal.SIGKILL)
-        spent = time.monotonic() - started
-        print(f'whole answer of {len(tokens)} tokens in {spent:.2f} s:')
+                engine = tokens[0].partition('-')[0]
+                print(f'10 tokens received; killing engine {engine} now')
+                deployment.kill(engine, signal.SIGKILL)
+        elapsed_s = time.monotonic() - started
+        print(
+            f'complete response of {len(tokens)} tokens in {elapsed_s:.2f} s:'
+        )
         print('   ', ''.join(tokens))
-        answer = await caller.call(
+        response = await caller.call(
             'booking', 'slots', method='POST', body={'slot': 'oven-1 9:00'}
         )
-        print('booked:', answer.body.decode())
-        print('the booking service ran:', deployment.booked())
+        print('booked:', response.body.decode())
+        print('bookings per slot:', deployment.booked())
 
 
 def main() -> None:
@@ -41,8 +43,8 @@
         try:
             started = time.monotonic()
             deployment.start()
-            spent = time.monotonic() - started
-            print(f'3 control, 3 entry, 2 engines: ready in {spent:.1f} s')
+            elapsed_s = time.monotonic() - started
+            print(f'3 control, 3 entry, 2 engines: ready in {elapsed_s:.1f} s')
             asyncio.run(use(deployment))
             path = folder / 'table.csv'
             deployment.cli('table', 'pull', str(path))
--- a/src/bulrushhold/testing/_platform.py
+++ b/src/bulrushhold/testing/_platform.py
@@ -1,4 +1,4 @@
-"""The platform's list, served with an entity tag."""
+"""A fake platform service that serves the list of entries and backends."""
 
 from aiohttp import web
 import msgspec
@@ -7,8 +7,8 @@
 from bulrushhold.testing import _http
 
 
-class PlatformService(_http.HttpStandIn):
-    """Serves the list that it is given; ``PUT /list`` replaces it."""
+class PlatformService(_http.FakeHttpServer):
+    """Serves a platform list with an ETag; ``PUT /list`` replaces the list."""
 
     def __init__(
         self, platform: ports.Platform | None = None, port: int = 0
@@ -25,13 +25,13 @@
 
     async def _read(self, request: web.Request) -> web.Response:
         body = msgspec.json.encode(self.platform)
-        tag = f'"{hash(body) & 0xFFFFFFFF:x}"'
-        if request.headers.get('If-None-Match') == tag:
+        etag = f'"{hash(body) & 0xFFFFFFFF:x}"'
+        if request.headers.get('If-None-Match') == etag:
             return web.Response(status=304)
         return web.Response(
             body=body,
             content_type='application/json',
-            headers={'ETag': tag},
+            headers={'ETag': etag},
         )
 
     async def _replace(self, request: web.Request) -> web.Response:
--- a/src/bulrushhold/testing/_ports.py
+++ b/src/bulrushhold/testing/_ports.py
@@ -1,13 +1,16 @@
-"""Ports from the kernel."""
+"""Allocation of free loopback ports."""
 
 import contextlib
 import socket
 
 
 def free_ports(count: int) -> list[int]:
-    """Return distinct loopback ports that were free just now."""
+    """Return distinct free loopback ports.
+
+    The ports are not reserved; another process may take one before its use.
+    """
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for item in sockets:
-            item.bind(('127.0.0.1', 0))
-        return [item.getsockname()[1] for item in sockets]
+        for sock in sockets:
+            sock.bind(('127.0.0.1', 0))
+        return [sock.getsockname()[1] for sock in sockets]
--- a/tests/platform/soak/__main__.py
+++ b/tests/platform/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds by hand: ``python -m tests.platform.soak --seeds 1-50``."""
+"""Command line: ``python -m tests.platform.soak --seeds 1-50``."""
 
 import asyncio
 import pathlib
@@ -13,27 +13,29 @@
 
 @click.command()
 @click.option('--seeds', default='1-10', help='FIRST-LAST, or one seed.')
-@click.option('--seconds', default=8.0, help='Of trouble in each run.')
-@click.option('--keep', default='', help='Folder for logs of broken runs.')
+@click.option(
+    '--seconds', default=8.0, help='Duration of the faults in each run.'
+)
+@click.option('--keep', default='', help='Parent folder of the logs.')
 def main(seeds: str, seconds: float, keep: str) -> None:
-    """Play each seed, and name the promises that were broken."""
+    """Run the soak test for each seed and print the violated guarantees."""
     first, _, last = seeds.partition('-')
     failed = []
     for seed in range(int(first), int(last or first) + 1):
-        folder = tempfile.mkdtemp(prefix=f'soak-{seed}-', dir=keep or None)
-        with system.Network() as net:
-            soak = run.Run(seed, folder, net.number, seconds)
+        log_folder = tempfile.mkdtemp(prefix=f'soak-{seed}-', dir=keep or None)
+        with system.Network() as network:
+            soak = run.Run(seed, log_folder, network.number, seconds)
             report = asyncio.run(soak.play())
         click.echo(
-            f'seed {seed}: {report.served} of {report.asked} served, '
-            f'{len(report.faults)} faults, {len(report.broken)} broken'
+            f'seed {seed}: {report.served} of {report.sent} served, '
+            f'{len(report.faults)} faults, {len(report.broken)} violations'
         )
         for line in report.broken[:10]:
             click.echo(f'    {line}')
         if report.broken:
             failed.append(seed)
             click.echo(f'    faults: {", ".join(report.faults)}')
-            click.echo(f'    logs: {pathlib.Path(folder)}')
+            click.echo(f'    logs: {pathlib.Path(log_folder)}')
     click.echo(f'failed seeds: {failed or "none"}')
     sys.exit(bool(failed))
 
