--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -128,7 +128,7 @@
     for count in (10, 67, 390):
         loads = decisions.LoadAggregator()
         placement = decisions.Placement(random.Random(1))
-        placement.speeds.ran('s', 7.0, 0.0)
+        placement.speeds.record_run('s', 7.0, 0.0)
         report = placement.load_report('e0', {}, 0.0)
         for number in range(count):
             entry_report = attrs.evolve(report, entry=f'e{number}')
@@ -138,7 +138,7 @@
         )
     print_costs('load report at the leader, by entries', report_costs, 'us')
     learned = decisions.EngineSpeeds()
-    learned.ran('s', 7.0, 0.0)
+    learned.record_run('s', 7.0, 0.0)
     pauses = decisions.Pauses(0.2)
     costs = {
         0: cost_us(lambda: pauses.add(0.03)),
--- a/src/bulrushhold/decisions/_known.py
+++ b/src/bulrushhold/decisions/_known.py
@@ -134,7 +134,9 @@
 
     # Recording events
 
-    def failed(self, ident: str, now: float, *, gone: bool) -> None:
+    def record_failure(
+        self, ident: str, now: float, *, unreachable: bool
+    ) -> None:
         """Record a failed request.
 
         :param unreachable: the server can't be reached or doesn't answer.
@@ -143,7 +145,7 @@
         if backend is None:
             return
         self._sample_failure(backend, 1.0, now)
-        if gone:
+        if unreachable:
             if backend.suspect_until <= now:
                 self.pending_losses.append(ident)
                 self.on_news()
@@ -220,7 +222,7 @@
     ) -> messages.LoadReport:
         """Return this entry's load report; each lost engine is listed once."""
         lost, self.pending_losses = self.pending_losses, []
-        replaced, self.pending_replaced = self.pending_replaced, []
+        mark_replaced, self.pending_replaced = self.pending_replaced, []
         loads = {
             backend.ident: messages.EngineLoad(
                 backend.reading, backend.inflight, backend.memory
@@ -230,7 +232,7 @@
         }
         speeds = self.speeds.snapshot(now)
         return messages.LoadReport(
-            entry, loads, lost, replaced, traffic, speeds=speeds
+            entry, loads, lost, mark_replaced, traffic, speeds=speeds
         )
 
     def _apply_engines(self, summary: messages.LoadSummary) -> None:
@@ -269,7 +271,7 @@
         for ident in summary.replaced:
             self.replaced_idents.add(ident)
 
-    def replaced(self, ident: str) -> None:
+    def mark_replaced(self, ident: str) -> None:
         """Record that another server now uses this one's address."""
         if ident not in self.replaced_idents:
             self.replaced_idents.add(ident)
--- a/src/bulrushhold/decisions/_speeds.py
+++ b/src/bulrushhold/decisions/_speeds.py
@@ -126,7 +126,7 @@
         )
         self._add(service, sample, now)
 
-    def ran(self, service: str, seconds: float, now: float) -> None:
+    def record_run(self, service: str, seconds: float, now: float) -> None:
         """Record the time from sending a prompt to the last event."""
         self._add(service, messages.EngineSpeed(runs=1, run_s=seconds), now)
 
--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -306,7 +306,7 @@
         prompt = calls.Prompt(prompt_tokens, load.output_tokens, (segment,))
         now = emulated_now()
         job = _make_job(load, ident, prompt, now, remaining_s)
-        entry.budget.first(SERVICE, now)
+        entry.budget.count_request(SERVICE, now)
         run = asyncio.ensure_future(
             forwarding.StreamRun(entry.parts, job, _Caller(outcome)).run()
         )
--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -97,7 +97,7 @@
         _parts.record_load(self.context, self.engine.ident, head)
         if head.not_run:
             if head.status == 421:
-                self.context.placement.replaced(self.engine.ident)
+                self.context.placement.mark_replaced(self.engine.ident)
             raise StreamLostError(
                 f'refused with status {head.status}',
                 sent=False,
@@ -111,7 +111,7 @@
         now = self.context.clock()
         self.context.placement.succeeded(self.engine.ident, now, None)
         if self.copy is None and self.stream.job.call.after is None:
-            self.speeds.ran(
+            self.speeds.record_run(
                 self.stream.job.service, now - self.started_at, now
             )
         self.close()
--- a/src/bulrushhold/forwarding/_forwarder.py
+++ b/src/bulrushhold/forwarding/_forwarder.py
@@ -93,7 +93,7 @@
             self._refuse_unfinishable(service, route, now)
         fingerprint = decisions.fingerprint(path, call.key, call.body)
         self._refuse_poison_request(fingerprint, service, now)
-        self.context.budget.first(service, now)
+        self.context.budget.count_request(service, now)
         deadline = now + min(call.wait_s, route.timeout_s)
         return _parts.Job(call, route, service, account, deadline, fingerprint)
 
--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -170,7 +170,7 @@
             _parts.record_load(self.context, backend.ident, head)
             if head.not_run:
                 if head.status == 421:
-                    self.context.placement.replaced(backend.ident)
+                    self.context.placement.mark_replaced(backend.ident)
                 return _Result(
                     errors.Ran.NO, f'refused with status {head.status}'
                 )
@@ -202,7 +202,9 @@
             result.ran is errors.Ran.NO
             and 'connect' in (result.reason.split(' ', 1)[0])
         )
-        self.context.placement.failed(backend.ident, now, gone=unreachable)
+        self.context.placement.record_failure(
+            backend.ident, now, unreachable=unreachable
+        )
         self.context.metrics.count('attempts.failed')
         _parts.log(
             self.job,
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -330,7 +330,9 @@
         self, engine: decisions.Placed, lost: _flow.StreamLostError
     ) -> None:
         now = self.context.clock()
-        self.context.placement.failed(engine.ident, now, gone=lost.unreachable)
+        self.context.placement.record_failure(
+            engine.ident, now, unreachable=lost.unreachable
+        )
         self.context.metrics.count('engines.lost')
         if lost.unreachable:
             self.lost_data_centre = engine.data_centre
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -226,7 +226,7 @@
     client, parts
 ):
     # All engines are full, and the queue is too long for another stream.
-    parts.placement.speeds.ran('engines', 10.0, parts.clock())
+    parts.placement.speeds.record_run('engines', 10.0, parts.clock())
     parts.placement.capacity = {'engines': 10_000}
     for backend in parts.placement.backends.values():
         backend.memory = 10_000
@@ -382,7 +382,7 @@
             ]
         )
         for ident in ('i1', 'i4', 'i7'):
-            placement.failed(ident, 1.0, gone=True)
+            placement.record_failure(ident, 1.0, unreachable=True)
         source = placement.backends['i0']
         backup = placement.choose_backup(source, 1.1, set(), MEMORY)
         assert backup.data_centre == 'dc2'
--- a/tests/forwarding/test_fleet.py
+++ b/tests/forwarding/test_fleet.py
@@ -41,7 +41,7 @@
     fleet._take(fakes.a_reply(kind=routes.Kind.STREAM))
     forwarder = forwarding.Forwarder(fleet, parts)
     forwarder.ends_at = parts.clock() + 5.0
-    parts.placement.speeds.ran('engines', run_s, parts.clock())
+    parts.placement.speeds.record_run('engines', run_s, parts.clock())
     client.scripts = [fakes.Script(events=(1, 2))]
     call = fakes.a_job(parts, routes.Kind.STREAM).call
     out = fakes.FakeCaller()
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -130,14 +130,16 @@
         fakes.Script(events=(3,)),
     ]
     original_chunk = fakes.FakeAnswer.chunk
-    parts.placement.failed('i5', parts.clock(), gone=True)
+    parts.placement.record_failure('i5', parts.clock(), unreachable=True)
 
     async def slow_chunk(self):
         await asyncio.sleep(0.02)
         if self.left == [2]:
             backup = client.attempts[0].backup
             ident = f'i{backup[7]}'
-            parts.placement.failed(ident, parts.clock(), gone=True)
+            parts.placement.record_failure(
+                ident, parts.clock(), unreachable=True
+            )
         if not self.left and self.script.then == 'reset':
             await asyncio.sleep(0.1)
         return await original_chunk(self)
@@ -236,7 +238,7 @@
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     backup = f'i{client.attempts[0].backup[7]}'
-    parts.placement.failed(backup, parts.clock(), gone=True)
+    parts.placement.record_failure(backup, parts.clock(), unreachable=True)
     out, _ = await run
     assert out.data == fakes.text(1, 2, 3)
     assert client.attempts[1].copy == calls.RunCopy(
--- a/tests/test_fleet_control.py
+++ b/tests/test_fleet_control.py
@@ -132,7 +132,7 @@
 
 async def test_a_lost_engine_is_reported_to_other_data_centres_at_once(fleet):
     now = time.monotonic()
-    fleet.entries['a'].placement.failed('i2', now, gone=True)
+    fleet.entries['a'].placement.record_failure('i2', now, unreachable=True)
     backend = fleet.entries['b'].placement.backends['i2']
     await fleet.core.until(lambda: backend.suspect_until > now, 0.3)
 
@@ -153,7 +153,7 @@
     """A data centre must not lose load reports or maps with its relay."""
     await fleet.stop('relay-a')
     entry = fleet.entries['a']
-    entry.placement.failed('i3', time.monotonic(), gone=True)
+    entry.placement.record_failure('i3', time.monotonic(), unreachable=True)
     entry.placement.began(entry.placement.backends['i1'], 8000)
     started_at = time.monotonic()
     await fleet.wait_for_running(1)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -58,8 +58,8 @@
 
 def test_a_lost_engine_and_its_data_centre_are_avoided():
     placement = make_placement()
-    placement.failed('i0', 0.0, gone=True)
-    placement.failed('i3', 0.1, gone=True)
+    placement.record_failure('i0', 0.0, unreachable=True)
+    placement.record_failure('i3', 0.1, unreachable=True)
     for _ in range(4):
         engine = choose_engine(placement, now=0.2)
         assert engine.data_centre != 'dc0'
@@ -103,7 +103,7 @@
     placement = make_placement()
     backup = placement.backends['i1']
     assert placement.keeps_copy(backup, 0.0)
-    placement.failed('i1', 1.0, gone=True)
+    placement.record_failure('i1', 1.0, unreachable=True)
     assert not placement.keeps_copy(backup, 0.5)
     assert placement.keeps_copy(backup, 1.5)
     placement.update([])
@@ -123,7 +123,7 @@
     for n in range(3):
         placement.succeeded(f'i{n}', 0.0, 0.06)
     for _ in range(4):
-        placement.failed('i0', 0.0, gone=False)
+        placement.record_failure('i0', 0.0, unreachable=False)
     chosen = {
         placement.choose('engines', 0.1, once=True, tried=set()).ident
         for _ in range(50)
@@ -133,10 +133,10 @@
 
 def test_if_all_servers_are_ejected_the_oldest_ejection_is_tried():
     placement = make_placement(engines=2)
-    placement.failed('i0', 0.0, gone=True)
-    placement.failed('i1', 0.5, gone=True)
+    placement.record_failure('i0', 0.0, unreachable=True)
+    placement.record_failure('i1', 0.5, unreachable=True)
     assert choose_engine(placement, now=0.6).ident == 'i0'
-    placement.replaced('i0')
+    placement.mark_replaced('i0')
     assert choose_engine(placement, now=0.6).ident == 'i1'
 
 
@@ -146,7 +146,7 @@
     taken = sum(budget.take('engines', 0.0) for _ in range(50))
     assert taken == 4  # 20 over 4 entries, minus a margin of a fifth.
     for _ in range(100):
-        budget.first('engines', 1.0)
+        budget.count_request('engines', 1.0)
     taken += sum(budget.take('engines', 1.0) for _ in range(100))
     assert taken == 44
     assert budget.take('desk', 1.0)
@@ -158,7 +158,7 @@
     # Guards against requests to the old identity of a restarted engine, which
     # the platform's list may still contain.
     first, second = make_placement(), make_placement()
-    first.replaced('i2')
+    first.mark_replaced('i2')
     report = first.load_report('e1', {}, 0.0)
     assert report.replaced == ['i2']
     second.apply_loads(messages.LoadSummary(1, {}, [], report.replaced), 0.0)
@@ -174,7 +174,7 @@
     budget = decisions.RepeatBudget(0.8, 150, 10.0)
     budget.entries = 67
     for _ in range(4):
-        budget.first('engines', 0.0)
+        budget.count_request('engines', 0.0)
     assert sum(budget.take('engines', 0.1) for _ in range(8)) == 4
     low_traffic = messages.ServiceTraffic(270, 20)
     budget.apply_loads({'engines': low_traffic}, 0.2)
@@ -215,7 +215,7 @@
     placement = make_placement(engines=2)
     for backend in placement.backends.values():
         backend.data_centre = 'dc0'
-    placement.failed('i0', 0.0, gone=True)
+    placement.record_failure('i0', 0.0, unreachable=True)
     placement.began(placement.backends['i1'], 8000)
     assert choose_engine(placement, now=2.0).ident == 'i1'
     assert choose_engine(placement, now=7.0).ident == 'i0'
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -48,7 +48,7 @@
     for number in range(10):
         placement = decisions.Placement(None)
         add_reads(placement.speeds, 3.0, 0.0)
-        placement.speeds.ran('s', 9.0, 3.0)
+        placement.speeds.record_run('s', 9.0, 3.0)
         loads.take(placement.load_report(f'e{number}', {}, 3.0), 3.0)
     last = decisions.EngineSpeeds()
     last.apply_loads(loads.others('e99', 0).speeds)
