--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -31,7 +31,7 @@
 
 MEASUREMENT_S: t.Final = 0.3
 POLLING_S: t.Final = 4.0
-WANTED: t.Final = decisions.Wanted(8000, 4.5, 0.7)
+WANTED: t.Final = decisions.LatencyObjective(8000, 4.5, 0.7)
 
 
 def cost_us(function: cabc.Callable[[], t.Any]) -> float:
@@ -139,7 +139,7 @@
     print_costs('load report at the leader, by entries', report_costs, 'us')
     learned = decisions.EngineSpeeds()
     learned.record_run('s', 7.0, 0.0)
-    pauses = decisions.Pauses(0.2)
+    pauses = decisions.PauseSamples(0.2)
     costs = {
         0: cost_us(lambda: pauses.add(0.03)),
         1: cost_us(lambda: learned.paused('s', pauses, 1.0)),
--- a/src/bulrushhold/composition/_forwarding.py
+++ b/src/bulrushhold/composition/_forwarding.py
@@ -76,12 +76,12 @@
         self.session = adapters.make_session()
         self.client = adapters.HttpBackendClient(self.adapters.engine_dialect)
         placement = decisions.Placement(random.Random())
-        budget = decisions.RepeatBudget(
+        budget = decisions.ServiceRetryBudget(
             config.repeat_ratio,
             config.repeat_allowance,
             config.repeat_window_s,
         )
-        crashers = decisions.Crashers(placement.lost_near)
+        crashers = decisions.PoisonRequestDetector(placement.lost_near)
         admission = decisions.AdmissionController()
         self.fleet = forwarding.Fleet(
             messages.ListedEntry(
--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -8,8 +8,8 @@
 from bulrushhold.decisions._claims import ClaimState
 from bulrushhold.decisions._controlservers import ControlServers
 from bulrushhold.decisions._copies import CopyStore
-from bulrushhold.decisions._crashers import Crashers
 from bulrushhold.decisions._crashers import fingerprint
+from bulrushhold.decisions._crashers import PoisonRequestDetector
 from bulrushhold.decisions._fairqueue import FairQueue
 from bulrushhold.decisions._homes import copy_peers
 from bulrushhold.decisions._homes import entries_for
@@ -26,8 +26,8 @@
 from bulrushhold.decisions._membership import PERIOD_S as MEMBERSHIP_PERIOD_S
 from bulrushhold.decisions._membership import PROBE_S as MEMBERSHIP_PROBE_S
 from bulrushhold.decisions._patience import leave_unread_s
-from bulrushhold.decisions._patience import Patience
-from bulrushhold.decisions._placed import Placed
+from bulrushhold.decisions._patience import StallTimeouts
+from bulrushhold.decisions._placed import BackendServer
 from bulrushhold.decisions._placing import Placement
 from bulrushhold.decisions._quota import LEASE_S as QUOTA_LEASE_S
 from bulrushhold.decisions._quota import QuotaHome
@@ -39,9 +39,9 @@
 from bulrushhold.decisions._recovery import RecoveryPolicy
 from bulrushhold.decisions._recovery import ThriftyPolicy
 from bulrushhold.decisions._recovery import WorkBudget
-from bulrushhold.decisions._repeats import RepeatBudget
+from bulrushhold.decisions._repeats import ServiceRetryBudget
 from bulrushhold.decisions._replica import Replica
-from bulrushhold.decisions._retries import RetryBudget
+from bulrushhold.decisions._retries import AccountRetryBudget
 from bulrushhold.decisions._roles import Durable
 from bulrushhold.decisions._roles import Ready
 from bulrushhold.decisions._roles import Role
@@ -50,9 +50,9 @@
 from bulrushhold.decisions._routing import Choice
 from bulrushhold.decisions._routing import Router
 from bulrushhold.decisions._speeds import EngineSpeeds
-from bulrushhold.decisions._speeds import Pauses
-from bulrushhold.decisions._speeds import Reading
-from bulrushhold.decisions._speeds import Wanted
+from bulrushhold.decisions._speeds import LatencyObjective
+from bulrushhold.decisions._speeds import PauseSamples
+from bulrushhold.decisions._speeds import PromptRead
 from bulrushhold.decisions._statemachine import ReplicatedState
 from bulrushhold.decisions._suspects import content_fingerprint
 from bulrushhold.decisions._suspects import Suspects
@@ -68,44 +68,45 @@
 
 __all__ = [
     'ADMISSION_CHECK_S',
+    'AccountRetryBudget',
     'Action',
     'AdmissionController',
     'AdmissionDecision',
+    'BackendServer',
     'BackendState',
     'CapacityEstimate',
     'Choice',
     'ClaimState',
     'ControlServers',
     'CopyStore',
-    'Crashers',
     'Durable',
     'EngineSpeeds',
     'FairQueue',
     'GapEstimate',
+    'LatencyObjective',
     'Lifecycle',
     'LoadAggregator',
     'MEMBERSHIP_PERIOD_S',
     'MEMBERSHIP_PROBE_S',
     'Membership',
-    'Patience',
-    'Pauses',
-    'Placed',
+    'PauseSamples',
     'Placement',
+    'PoisonRequestDetector',
     'PromptPolicy',
+    'PromptRead',
     'QUOTA_LEASE_S',
     'QUOTA_RENEW_S',
     'QuotaHome',
     'QuotaShare',
-    'Reading',
     'Ready',
     'RecoveryPolicy',
-    'RepeatBudget',
     'Replica',
     'ReplicatedState',
-    'RetryBudget',
     'Role',
     'Router',
     'SMALL_ACCOUNT_ENTRIES',
+    'ServiceRetryBudget',
+    'StallTimeouts',
     'Standing',
     'Suspects',
     'TableState',
@@ -113,7 +114,6 @@
     'Timing',
     'Transcript',
     'Verdict',
-    'Wanted',
     'WorkBudget',
     'best_copy',
     'content_fingerprint',
--- a/src/bulrushhold/decisions/_crashers.py
+++ b/src/bulrushhold/decisions/_crashers.py
@@ -44,7 +44,7 @@
     at: float
 
 
-class Crashers:
+class PoisonRequestDetector:
     """Counts engine crashes by request, with reports of other entries.
 
     :param count_losses_near: returns the number of engines lost in an
--- a/src/bulrushhold/decisions/_known.py
+++ b/src/bulrushhold/decisions/_known.py
@@ -55,8 +55,8 @@
         self.silent_data_centres: list[str] = []
         self.capacity: dict[str, int] = {}
         self.speeds = _speeds.EngineSpeeds()
-        self.backends: dict[str, _placed.Placed] = {}
-        self.services: dict[str, list[_placed.Placed]] = {}
+        self.backends: dict[str, _placed.BackendServer] = {}
+        self.services: dict[str, list[_placed.BackendServer]] = {}
         self.replaced_idents: set[str] = set()
         self.data_centre_failures: dict[
             tuple[str, str], collections.deque[tuple[float, str]]
@@ -71,7 +71,7 @@
         for item in listed:
             server = self.backends.get(item.ident)
             if server is None or server.address != item.address:
-                server = _placed.Placed(
+                server = _placed.BackendServer(
                     item.ident,
                     item.service,
                     item.address,
@@ -87,7 +87,7 @@
         for backend in backends.values():
             self.services.setdefault(backend.service, []).append(backend)
 
-    def usable(self, service: str) -> list[_placed.Placed]:
+    def usable(self, service: str) -> list[_placed.BackendServer]:
         """Return the servers that may receive new requests."""
         return [
             backend
@@ -102,7 +102,11 @@
         return not capacity or tokens <= capacity
 
     def has_room(
-        self, backend: _placed.Placed, now: float, tokens: int, share: float
+        self,
+        backend: _placed.BackendServer,
+        now: float,
+        tokens: int,
+        share: float,
     ) -> bool:
         capacity = self.capacity.get(backend.service, 0)
         needed = (
@@ -113,7 +117,7 @@
         return not capacity or needed <= capacity * share
 
     def current_remote_load(
-        self, backend: _placed.Placed, now: float
+        self, backend: _placed.BackendServer, now: float
     ) -> messages.EngineLoad:
         """Return the load that other entries report, or none if outdated.
 
@@ -123,7 +127,7 @@
         is_current = now - self.last_report_at < LOAD_REPORT_TTL_S
         return backend.others if is_current else _placed.NO_LOAD
 
-    def keeps_copy(self, backend: _placed.Placed, since: float) -> bool:
+    def keeps_copy(self, backend: _placed.BackendServer, since: float) -> bool:
         """Return whether a copy made at ``since`` can still exist."""
         return (
             backend.ident in self.backends
@@ -166,7 +170,7 @@
             for backend in self.services[engine.service]
         )
 
-    def _eject(self, backend: _placed.Placed, now: float) -> None:
+    def _eject(self, backend: _placed.BackendServer, now: float) -> None:
         backend.lost_at = now
         backend.suspect_until = now + EJECTION_S
         location = (backend.service, backend.data_centre)
@@ -197,18 +201,18 @@
             backend.remote_requests = max(0.0, remote_requests)
             backend.remote_requests_at = now
 
-    def began(self, backend: _placed.Placed, tokens: int) -> None:
+    def began(self, backend: _placed.BackendServer, tokens: int) -> None:
         """Count a stream sent to an engine, with its prompt yet to be read."""
         backend.inflight += 1
         backend.reading += tokens
         self.on_news()
 
-    def has_read(self, backend: _placed.Placed, tokens: int) -> None:
+    def has_read(self, backend: _placed.BackendServer, tokens: int) -> None:
         """Count a stream's prompt as read."""
         backend.reading -= tokens
         self.on_news()
 
-    def ended(self, backend: _placed.Placed, tokens: int) -> None:
+    def ended(self, backend: _placed.BackendServer, tokens: int) -> None:
         """Remove a stream from an engine, with its unread prompt tokens."""
         backend.inflight -= 1
         backend.reading -= tokens
@@ -291,25 +295,27 @@
         return ident if now - at < CACHED_PROMPT_TTL_S else ''
 
     def _sample_failure(
-        self, backend: _placed.Placed, sample: float, now: float
+        self, backend: _placed.BackendServer, sample: float, now: float
     ) -> None:
         old = backend.failures_now(now)
         backend.failures = old + FAILURE_SMOOTHING * (sample - old)
         backend.failed_at = now
 
     def memory_penalty(
-        self, backend: _placed.Placed, now: float, tokens: int
+        self, backend: _placed.BackendServer, now: float, tokens: int
     ) -> float:
         fits = self.has_room(backend, now, tokens, MAX_MEMORY_SHARE)
         return 0.0 if fits else FULL_PENALTY_PROMPTS
 
-    def health_penalty(self, backend: _placed.Placed, now: float) -> float:
+    def health_penalty(
+        self, backend: _placed.BackendServer, now: float
+    ) -> float:
         on_probation = now - backend.lost_at < PROBATION_S
         prompts = PROBATION_PENALTY_PROMPTS if on_probation else 0.0
         return prompts + self._data_centre_penalty(backend, now)
 
     def _data_centre_penalty(
-        self, backend: _placed.Placed, now: float
+        self, backend: _placed.BackendServer, now: float
     ) -> float:
         recent = self.data_centre_failures.get(
             (backend.service, backend.data_centre)
--- a/src/bulrushhold/decisions/_patience.py
+++ b/src/bulrushhold/decisions/_patience.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class Patience:
+class StallTimeouts:
     """Stall timeouts for one engine, in seconds.
 
     :param typical_pause_s: upper end of most pauses between its events.
--- a/src/bulrushhold/decisions/_placed.py
+++ b/src/bulrushhold/decisions/_placed.py
@@ -16,7 +16,7 @@
 
 
 @attrs.define
-class Placed:
+class BackendServer:
     """A backend server with its load and recent failures.
 
     :param inflight: requests of this entry.
--- a/src/bulrushhold/decisions/_placing.py
+++ b/src/bulrushhold/decisions/_placing.py
@@ -76,7 +76,7 @@
 
     def choose(
         self, service: str, now: float, *, once: bool, tried: set[str]
-    ) -> _placed.Placed | None:
+    ) -> _placed.BackendServer | None:
         """Return the server with the shortest expected wait.
 
         :param at_most_once: the request can't be retried if it fails.
@@ -86,7 +86,7 @@
             AT_MOST_ONCE_FAILURE_WEIGHT if once else IDEMPOTENT_FAILURE_WEIGHT
         )
 
-        def wait(backend: _placed.Placed) -> float:
+        def wait(backend: _placed.BackendServer) -> float:
             load = backend.inflight + backend.remote_requests_now(now) + 1
             # Below half of its slots a server is about as fast as when idle.
             load = max(1.0, load / max(1.0, backend.slots * 0.5))
@@ -106,7 +106,7 @@
         part: str,
         tried: set[str],
         avoid_data_centre: str = '',
-    ) -> _placed.Placed | None:
+    ) -> _placed.BackendServer | None:
         """Return the engine expected to produce the first event soonest.
 
         All engines of a service are assumed to be equally fast, so that the
@@ -121,7 +121,7 @@
         ranks = self._affinity_ranks(service, part, tried)
         prompt = max(1, tokens)
 
-        def wait(backend: _placed.Placed) -> float:
+        def wait(backend: _placed.BackendServer) -> float:
             rank = ranks.get(backend.ident, AFFINITY_CANDIDATES)
             own_tokens = 0 if backend.ident == cached else tokens
             others = self.current_remote_load(backend, now)
@@ -150,7 +150,7 @@
         stale = self._is_load_stale(service, now)
         jitter_prompts = STALE_JITTER_PROMPTS if stale else JITTER_PROMPTS
 
-        def jittered_wait(backend: _placed.Placed) -> float:
+        def jittered_wait(backend: _placed.BackendServer) -> float:
             return wait(backend) + jitter_prompts * _exponential_jitter(
                 part, backend.ident
             )
@@ -159,7 +159,7 @@
 
     def likely_keepers(
         self, service: str, part: str, now: float
-    ) -> list[_placed.Placed]:
+    ) -> list[_placed.BackendServer]:
         """Return the engines that may have a part of a prompt cached.
 
         Empty if the engine is known, or if the part has no name.
@@ -184,13 +184,13 @@
 
     def choose_backup(
         self,
-        engine: _placed.Placed,
+        engine: _placed.BackendServer,
         now: float,
         tried: set[str],
         tokens: int,
         *,
         overloaded: bool = False,
-    ) -> _placed.Placed | None:
+    ) -> _placed.BackendServer | None:
         """Return the engine on which to keep a copy of a run's memory.
 
         Prefers other data centres, since engines of one tend to fail together,
@@ -199,7 +199,7 @@
         :param overloaded: streams wait for engines.
         """
 
-        def cost(backend: _placed.Placed) -> float:
+        def cost(backend: _placed.BackendServer) -> float:
             same_data_centre = backend.data_centre == engine.data_centre
             others = backend.others
             load = backend.inflight + others.running
@@ -246,7 +246,7 @@
         service: str,
         now: float,
         *,
-        wanted: _speeds.Wanted,
+        wanted: _speeds.LatencyObjective,
         memory: int,
         but: str = '',
     ) -> _admissioncontrol.CapacityEstimate:
@@ -313,11 +313,11 @@
         service: str,
         now: float,
         tried: set[str],
-        cost: t.Callable[[_placed.Placed], float],
+        cost: t.Callable[[_placed.BackendServer], float],
         *,
         strict: bool = False,
         preferred: t.Container[str] = (),
-    ) -> _placed.Placed | None:
+    ) -> _placed.BackendServer | None:
         usable = self.usable(service)
         untried = [b for b in usable if b.ident not in tried]
         healthy = [b for b in untried if b.suspect_until <= now]
--- a/src/bulrushhold/decisions/_repeats.py
+++ b/src/bulrushhold/decisions/_repeats.py
@@ -27,7 +27,7 @@
 LOAD_REPORT_TTL_S: t.Final = 2.0
 
 
-class RepeatBudget:
+class ServiceRetryBudget:
     """Retries per service in a sliding window.
 
     :param ratio: retries per request.
--- a/src/bulrushhold/decisions/_retries.py
+++ b/src/bulrushhold/decisions/_retries.py
@@ -9,7 +9,7 @@
 
 
 @attrs.define
-class RetryBudget:
+class AccountRetryBudget:
     """Retries that each client account may still make.
 
     Each first attempt earns a fraction of a retry, up to a burst. If all
--- a/src/bulrushhold/decisions/_speeds.py
+++ b/src/bulrushhold/decisions/_speeds.py
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class Wanted:
+class LatencyObjective:
     """Latency objective of a stream, as its route defines it.
 
     :param tokens: length of the stream's prompt.
@@ -45,7 +45,7 @@
 
 
 @attrs.define
-class Pauses:
+class PauseSamples:
     """Sums of the pauses between events of one run.
 
     :param long_pause_s: upper end of the usual pauses.
@@ -71,7 +71,7 @@
 
 
 @attrs.define(eq=False)
-class Reading:
+class PromptRead:
     """A prompt that an engine is reading.
 
     :param tokens: of this prompt and of those queued before it.
@@ -89,19 +89,21 @@
     def __init__(self) -> None:
         self.local: dict[str, _LocalSamples] = {}
         self.remote: dict[str, messages.EngineSpeed] = {}
-        self.pending_reads: set[Reading] = set()
+        self.pending_reads: set[PromptRead] = set()
 
     # Recording samples
 
     def reads(
         self, service: str, engine: str, tokens: int, now: float
-    ) -> Reading:
+    ) -> PromptRead:
         """Record that a prompt was sent, with ``tokens`` to be read."""
-        reading = Reading(service, engine, max(1, tokens), now)
+        reading = PromptRead(service, engine, max(1, tokens), now)
         self.pending_reads.add(reading)
         return reading
 
-    def read(self, reading: Reading, wanted: Wanted, now: float) -> None:
+    def read(
+        self, reading: PromptRead, wanted: LatencyObjective, now: float
+    ) -> None:
         """Record that a prompt was read: its first event has arrived."""
         self.forget(reading)
         token_s = self.token_s(reading.service, wanted, now)
@@ -113,11 +115,11 @@
             now,
         )
 
-    def forget(self, reading: Reading) -> None:
+    def forget(self, reading: PromptRead) -> None:
         """Discard a pending read whose result is no longer awaited."""
         self.pending_reads.discard(reading)
 
-    def paused(self, service: str, pauses: Pauses, now: float) -> None:
+    def paused(self, service: str, pauses: PauseSamples, now: float) -> None:
         """Record the pauses between events of a run."""
         sample = messages.EngineSpeed(
             pauses=pauses.count,
@@ -144,7 +146,12 @@
     # Estimates
 
     def token_s(
-        self, service: str, wanted: Wanted, now: float, *, but: str = ''
+        self,
+        service: str,
+        wanted: LatencyObjective,
+        now: float,
+        *,
+        but: str = '',
     ) -> float:
         """Return the seconds that an engine needs to read a token.
 
@@ -169,7 +176,11 @@
         return seconds / tokens
 
     def pause_s(
-        self, service: str, wanted: Wanted, now: float, deviations: float
+        self,
+        service: str,
+        wanted: LatencyObjective,
+        now: float,
+        deviations: float,
     ) -> float:
         """Return the mean pause between events plus some deviations.
 
--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -122,7 +122,7 @@
         loop = asyncio.get_running_loop()
         self.name = name
         self.system = system
-        self.budget = decisions.RepeatBudget(0.8, 150.0, 10.0)
+        self.budget = decisions.ServiceRetryBudget(0.8, 150.0, 10.0)
         self.admission = decisions.AdmissionController()
         self.placement = decisions.Placement(system.rng)
         self.placement.on_news = self._schedule_report
@@ -133,7 +133,7 @@
             client,
             self.budget,
             node.NoMetrics(),
-            decisions.Crashers(self.placement.lost_near),
+            decisions.PoisonRequestDetector(self.placement.lost_near),
             self.admission,
             loop.time,
         )
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -49,7 +49,7 @@
         self.admission = admission
         self.quarantine = quarantine
         self.metrics = metrics
-        self.retries = decisions.RetryBudget()
+        self.retries = decisions.AccountRetryBudget()
         self.suspects = decisions.Suspects()
         self.running: dict[
             str, list[tuple[_generation.Generation, _attempts.Attempt]]
--- a/src/bulrushhold/forwarding/_fleet.py
+++ b/src/bulrushhold/forwarding/_fleet.py
@@ -53,8 +53,8 @@
         transport: ports.Transport,
         backend_list: ports.BackendList,
         placement: decisions.Placement,
-        budget: decisions.RepeatBudget,
-        crashers: decisions.Crashers,
+        budget: decisions.ServiceRetryBudget,
+        crashers: decisions.PoisonRequestDetector,
         admission: decisions.AdmissionController,
     ) -> None:
         self.me = me
--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -68,9 +68,9 @@
     def __init__(
         self,
         run: '_streams.StreamRun',
-        engine: decisions.Placed,
+        engine: decisions.BackendServer,
         copy: calls.RunCopy | None,
-        backup: decisions.Placed | None,
+        backup: decisions.BackendServer | None,
         reading: int,
     ) -> None:
         self.stream = run
@@ -85,11 +85,11 @@
         self.renewal: asyncio.Task[None] | None = None
         self.speeds = run.context.placement.speeds
         self.started_at = run.context.clock()
-        self.read_sample: decisions.Reading | None = None
+        self.read_sample: decisions.PromptRead | None = None
         self.expected_first_s = 0.0
         self.pauses_reported_at = self.last_event_at = self.started_at
         self.stall_timeouts = self._make_stall_timeouts()
-        self.pauses = decisions.Pauses(self.stall_timeouts.usual_pause_s)
+        self.pauses = decisions.PauseSamples(self.stall_timeouts.usual_pause_s)
 
     async def run(self) -> calls.Reply | None:
         answer = await self._open()
@@ -261,7 +261,7 @@
     def _has_copy(self) -> bool:
         return self.backup is not None and self._may_hold_copy(self.backup)
 
-    def _may_hold_copy(self, backup: decisions.Placed) -> bool:
+    def _may_hold_copy(self, backup: decisions.BackendServer) -> bool:
         since = self.stream.backup_since
         return self.context.placement.keeps_copy(backup, since)
 
@@ -297,7 +297,7 @@
                 copied_at = now
                 await asyncio.sleep(COPY_RENEWAL_S)
 
-    def _set_backup(self, target: decisions.Placed) -> None:
+    def _set_backup(self, target: decisions.BackendServer) -> None:
         stream = self.stream
         stream.backup = stream.copy = None
         stream.backup_since = self.context.clock()
@@ -401,9 +401,9 @@
         self.speeds.paused(self.stream.job.service, self.pauses, now)
         self.pauses_reported_at = now
         self.stall_timeouts = self._make_stall_timeouts()
-        self.pauses = decisions.Pauses(self.stall_timeouts.usual_pause_s)
+        self.pauses = decisions.PauseSamples(self.stall_timeouts.usual_pause_s)
 
-    def _make_stall_timeouts(self) -> decisions.Patience:
+    def _make_stall_timeouts(self) -> decisions.StallTimeouts:
         wanted = self.stream.wanted
         common, usual = (
             self.speeds.pause_s(
@@ -414,7 +414,7 @@
             )
             for deviations in (COMMON_DEVIATIONS, USUAL_DEVIATIONS)
         )
-        return decisions.Patience(
+        return decisions.StallTimeouts(
             common, usual, wanted.gap_s, _liveness.PROBE_TIMEOUT_S
         )
 
--- a/src/bulrushhold/forwarding/_parts.py
+++ b/src/bulrushhold/forwarding/_parts.py
@@ -22,9 +22,9 @@
 
     placement: decisions.Placement
     client: calls.BackendClient
-    budget: decisions.RepeatBudget
+    budget: decisions.ServiceRetryBudget
     metrics: ports.Metrics
-    crashers: decisions.Crashers
+    crashers: decisions.PoisonRequestDetector
     admission: decisions.AdmissionController
     clock: cabc.Callable[[], float] = time.monotonic
 
--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -71,7 +71,7 @@
     def _remaining_s(self) -> float:
         return self.job.deadline - self.context.clock()
 
-    def _choose(self) -> decisions.Placed | None:
+    def _choose(self) -> decisions.BackendServer | None:
         if self._remaining_s() < MIN_REMAINING_S:
             return None
         return self.context.placement.choose(
@@ -112,7 +112,7 @@
             self.job, last.reason, ident, timed_out=timed_out
         )
 
-    async def _attempt(self, backend: decisions.Placed) -> _Result:
+    async def _attempt(self, backend: decisions.BackendServer) -> _Result:
         self.tried.add(backend.ident)
         started = self.context.clock()
         backend.inflight += 1
@@ -131,7 +131,7 @@
         return result
 
     async def _wait(
-        self, task: 'asyncio.Future[_Result]', backend: decisions.Placed
+        self, task: 'asyncio.Future[_Result]', backend: decisions.BackendServer
     ) -> _Result:
         if self.repeatable and self._can_switch():
             expected_s = backend.latency or self.job.route.aim_s / 2
@@ -155,7 +155,7 @@
             b.ident not in self.tried and b.suspect_until == 0 for b in others
         )
 
-    async def _exchange(self, backend: decisions.Placed) -> _Result:
+    async def _exchange(self, backend: decisions.BackendServer) -> _Result:
         attempt = calls.Attempt(
             backend.address,
             backend.ident,
@@ -191,7 +191,7 @@
                 answer.close()
 
     def _record_result(
-        self, backend: decisions.Placed, result: _Result, seconds: float
+        self, backend: decisions.BackendServer, result: _Result, seconds: float
     ) -> None:
         now = self.context.clock()
         succeeded = result.reply is not None and result.reply.status < 500
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -39,7 +39,7 @@
         self.last_event_id = job.call.after
         self.tried: set[str] = set()
         self.lost_runs = 0
-        self.backup: decisions.Placed | None = None
+        self.backup: decisions.BackendServer | None = None
         self.backup_since = 0.0
         self.copy: calls.RunCopy | None = None
         # Streams that fail have generated about half of their answer.
@@ -55,7 +55,7 @@
         self.longest_pause_s = 0.0
         self.failure_reply: calls.Reply | None = None
         self.tokens = job.call.prompt.tokens if job.call.prompt else 0
-        self.wanted = decisions.Wanted(
+        self.wanted = decisions.LatencyObjective(
             self.tokens,
             job.route.aim_s or job.route.timeout_s,
             job.route.gap_s or job.route.aim_s or job.route.timeout_s,
@@ -162,7 +162,7 @@
 
     async def _choose(
         self,
-    ) -> tuple[decisions.Placed | None, calls.RunCopy | None]:
+    ) -> tuple[decisions.BackendServer | None, calls.RunCopy | None]:
         """Return the next engine, and the copy from which it resumes."""
         if self.remaining_s() < MIN_REMAINING_S:
             return None, None
@@ -263,7 +263,7 @@
     # Attempts at one engine
 
     async def _attempt(
-        self, engine: decisions.Placed, copy: calls.RunCopy | None
+        self, engine: decisions.BackendServer, copy: calls.RunCopy | None
     ) -> calls.Reply | None:
         if copy is None:
             self.tried.add(engine.ident)
@@ -300,8 +300,8 @@
                 engine_stream.backup.memory -= self.memory
 
     def choose_backup(
-        self, engine: decisions.Placed
-    ) -> decisions.Placed | None:
+        self, engine: decisions.BackendServer
+    ) -> decisions.BackendServer | None:
         if not (self.job.route.resumable and self.tokens):
             return None
         now = self.context.clock()
@@ -314,7 +314,7 @@
         )
 
     async def _check_reachable(
-        self, engine: decisions.Placed, lost: _flow.StreamLostError
+        self, engine: decisions.BackendServer, lost: _flow.StreamLostError
     ) -> None:
         """Check whether an engine that broke the connection is alive.
 
@@ -327,7 +327,7 @@
             lost.unreachable = False
 
     def _record_loss(
-        self, engine: decisions.Placed, lost: _flow.StreamLostError
+        self, engine: decisions.BackendServer, lost: _flow.StreamLostError
     ) -> None:
         now = self.context.clock()
         self.context.placement.record_failure(
--- a/tests/forwarding/conftest.py
+++ b/tests/forwarding/conftest.py
@@ -31,9 +31,9 @@
     return forwarding.Parts(
         placement,
         client,
-        decisions.RepeatBudget(1.0, 100, 10.0),
+        decisions.ServiceRetryBudget(1.0, 100, 10.0),
         node.NoMetrics(),
-        decisions.Crashers(placement.lost_near),
+        decisions.PoisonRequestDetector(placement.lost_near),
         decisions.AdmissionController(),
     )
 
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -18,7 +18,7 @@
 AIM_S = 4.5
 CALLER_TIMEOUT_S = 4 * AIM_S
 PROMPT = 8000
-OBJECTIVE = decisions.Wanted(PROMPT, AIM_S, 0.7)
+OBJECTIVE = decisions.LatencyObjective(PROMPT, AIM_S, 0.7)
 MEMORY = 8500
 CAPACITY = 88_000
 DECODE_S = 8.0
--- a/tests/forwarding/test_crashers.py
+++ b/tests/forwarding/test_crashers.py
@@ -12,7 +12,9 @@
 
 
 def make_detector(nearby_losses=1):
-    return decisions.Crashers(lambda engine, at, within: nearby_losses)
+    return decisions.PoisonRequestDetector(
+        lambda engine, at, within: nearby_losses
+    )
 
 
 def add_crashes(detector, fingerprint, engines):
--- a/tests/test_fleet_control.py
+++ b/tests/test_fleet_control.py
@@ -81,8 +81,8 @@
             transport,
             StaticBackendList(),
             placement,
-            decisions.RepeatBudget(1.0, 100, 10.0),
-            decisions.Crashers(placement.lost_near),
+            decisions.ServiceRetryBudget(1.0, 100, 10.0),
+            decisions.PoisonRequestDetector(placement.lost_near),
             decisions.AdmissionController(),
         )
         self.run(name, entry.follow())
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -141,7 +141,7 @@
 
 
 def test_retries_are_bounded_by_requests_and_a_shared_allowance():
-    budget = decisions.RepeatBudget(0.5, 20, 10.0)
+    budget = decisions.ServiceRetryBudget(0.5, 20, 10.0)
     budget.entries = 4
     taken = sum(budget.take('engines', 0.0) for _ in range(50))
     assert taken == 4  # 20 over 4 entries, minus a margin of a fifth.
@@ -171,7 +171,7 @@
 def test_an_entry_may_use_retry_budget_that_others_leave_unused():
     # Guards against refused retries while most of the shared budget is unused:
     # with many entries, each local budget is small.
-    budget = decisions.RepeatBudget(0.8, 150, 10.0)
+    budget = decisions.ServiceRetryBudget(0.8, 150, 10.0)
     budget.entries = 67
     for _ in range(4):
         budget.count_request('engines', 0.0)
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -5,7 +5,7 @@
 from bulrushhold import decisions
 from bulrushhold import messages
 
-OBJECTIVE = decisions.Wanted(8000, 4.5, 0.7)
+OBJECTIVE = decisions.LatencyObjective(8000, 4.5, 0.7)
 SPEEDS = [3.0, 1.0, 1 / 3]
 READ_S = 1.0
 PAUSE_S = 0.028
@@ -18,7 +18,7 @@
 
 
 def add_pauses(speeds, at, *seconds):
-    pauses = decisions.Pauses(speeds.pause_s('s', OBJECTIVE, at, 4.0))
+    pauses = decisions.PauseSamples(speeds.pause_s('s', OBJECTIVE, at, 4.0))
     for pause_s in seconds:
         pauses.add(pause_s)
     speeds.paused('s', pauses, at)
@@ -34,7 +34,7 @@
 
 def test_estimates_without_samples_follow_the_route():
     speeds = decisions.EngineSpeeds()
-    slow = decisions.Wanted(8000, 45.0, 7.0)
+    slow = decisions.LatencyObjective(8000, 45.0, 7.0)
     assert 8000 * speeds.token_s('s', OBJECTIVE, 0.0) == pytest.approx(1.5)
     assert 8000 * speeds.token_s('s', slow, 0.0) == pytest.approx(15.0)
     assert speeds.pause_s('s', OBJECTIVE, 0.0, 4.0) < 0.35
@@ -115,7 +115,7 @@
     typical_pause_s, long_pause_s = (
         speeds.pause_s('s', OBJECTIVE, 0.0, d) for d in (1.5, 4.0)
     )
-    timeouts = decisions.Patience(
+    timeouts = decisions.StallTimeouts(
         typical_pause_s, long_pause_s, OBJECTIVE.gap_s, 0.18
     )
     assert timeouts.ask_after_s > idle_pause_s
