--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -31,7 +31,7 @@
 
 MEASUREMENT_S: t.Final = 0.3
 POLLING_S: t.Final = 4.0
-WANTED: t.Final = decisions.LatencyObjective(8000, 4.5, 0.7)
+OBJECTIVE: t.Final = decisions.LatencyObjective(8000, 4.5, 0.7)
 
 
 def cost_us(function: cabc.Callable[[], t.Any]) -> float:
@@ -109,7 +109,7 @@
         numbers = itertools.count()
         admission_costs[count] = cost_us(
             lambda p=placement: p.estimate_capacity(
-                's', 0.0, wanted=WANTED, memory=8500
+                's', 0.0, objective=OBJECTIVE, memory=8500
             )
         )
         placement_costs[count] = cost_us(
@@ -143,8 +143,8 @@
     costs = {
         0: cost_us(lambda: pauses.add(0.03)),
         1: cost_us(lambda: learned.paused('s', pauses, 1.0)),
-        2: cost_us(lambda: learned.token_s('s', WANTED, 1.0)),
-        3: cost_us(lambda: learned.pause_s('s', WANTED, 1.0, 4.0)),
+        2: cost_us(lambda: learned.token_s('s', OBJECTIVE, 1.0)),
+        3: cost_us(lambda: learned.pause_s('s', OBJECTIVE, 1.0, 4.0)),
     }
     print_costs(
         '0 add a pause, 1 record pauses, 2 read speed, 3 pause estimate',
--- a/src/bulrushhold/decisions/_placing.py
+++ b/src/bulrushhold/decisions/_placing.py
@@ -246,7 +246,7 @@
         service: str,
         now: float,
         *,
-        wanted: _speeds.LatencyObjective,
+        objective: _speeds.LatencyObjective,
         memory: int,
         but: str = '',
     ) -> _admissioncontrol.CapacityEstimate:
@@ -255,8 +255,8 @@
         :param memory: tokens of the prompt and its output.
         :param excluding: engine to leave out, to compare it with the others.
         """
-        tokens = wanted.tokens
-        token_s = self.speeds.token_s(service, wanted, now, but=but)
+        tokens = objective.tokens
+        token_s = self.speeds.token_s(service, objective, now, but=but)
         healthy = [
             b
             for b in self.usable(service)
@@ -274,8 +274,8 @@
             reading = backend.reading + others + tokens
             first_s = min(first_s, reading * token_s)
             with_room += 1
-            in_time += reading * token_s <= wanted.aim_s
-            nearly_idle = reading * token_s <= IDLE_AIM_SHARE * wanted.aim_s
+            in_time += reading * token_s <= objective.aim_s
+            nearly_idle = reading * token_s <= IDLE_AIM_SHARE * objective.aim_s
             idle = idle or nearly_idle or reading == tokens
         per_s = self._completions_per_s(service, now, tokens * token_s, memory)
         run_s = self.speeds.run_s(service, now) or 0.0
--- a/src/bulrushhold/decisions/_speeds.py
+++ b/src/bulrushhold/decisions/_speeds.py
@@ -102,11 +102,11 @@
         return reading
 
     def read(
-        self, reading: PromptRead, wanted: LatencyObjective, now: float
+        self, reading: PromptRead, objective: LatencyObjective, now: float
     ) -> None:
         """Record that a prompt was read: its first event has arrived."""
         self.forget(reading)
-        token_s = self.token_s(reading.service, wanted, now)
+        token_s = self.token_s(reading.service, objective, now)
         max_s = MAX_SAMPLE_RATIO * token_s * reading.tokens
         read_s = min(now - reading.started_at, max_s)
         self._add(
@@ -148,7 +148,7 @@
     def token_s(
         self,
         service: str,
-        wanted: LatencyObjective,
+        objective: LatencyObjective,
         now: float,
         *,
         but: str = '',
@@ -162,8 +162,10 @@
             it with the others.
         """
         samples = self._combined_samples(service, now)
-        tokens = samples.tokens + PRIOR_WEIGHT_PROMPTS * max(1, wanted.tokens)
-        expected_s = wanted.aim_s / PROMPTS_PER_AIM
+        tokens = samples.tokens + PRIOR_WEIGHT_PROMPTS * max(
+            1, objective.tokens
+        )
+        expected_s = objective.aim_s / PROMPTS_PER_AIM
         seconds = samples.read_s + PRIOR_WEIGHT_PROMPTS * expected_s
         token_s = seconds / tokens
         for reading in self.pending_reads:
@@ -178,7 +180,7 @@
     def pause_s(
         self,
         service: str,
-        wanted: LatencyObjective,
+        objective: LatencyObjective,
         now: float,
         deviations: float,
     ) -> float:
@@ -187,7 +189,7 @@
         :param deviations: standard deviations above the mean.
         """
         samples = self._combined_samples(service, now)
-        expected = wanted.gap_s / PAUSES_PER_GAP
+        expected = objective.gap_s / PAUSES_PER_GAP
         count = samples.pauses + PRIOR_WEIGHT_PAUSES
         mean = (samples.pause_s + PRIOR_WEIGHT_PAUSES * expected) / count
         square = (
--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -192,7 +192,7 @@
         self.read_sample = self.speeds.reads(
             service, self.engine.ident, tokens, now
         )
-        token_s = self.speeds.token_s(service, self.stream.wanted, now)
+        token_s = self.speeds.token_s(service, self.stream.objective, now)
         self.expected_first_s = tokens * token_s
 
     def _check_first_event(self, silence: _liveness.SilenceTimer) -> None:
@@ -339,7 +339,7 @@
         if not self.received_event:
             self.received_event = True
             if self.read_sample is not None:
-                self.speeds.read(self.read_sample, self.stream.wanted, now)
+                self.speeds.read(self.read_sample, self.stream.objective, now)
             self.context.placement.has_read(self.engine, self.reading)
             self.reading = 0
             self.stream.record_resumption(self.engine.ident)
@@ -404,18 +404,18 @@
         self.pauses = decisions.PauseSamples(self.stall_timeouts.usual_pause_s)
 
     def _make_stall_timeouts(self) -> decisions.StallTimeouts:
-        wanted = self.stream.wanted
+        objective = self.stream.objective
         common, usual = (
             self.speeds.pause_s(
                 self.stream.job.service,
-                wanted,
+                objective,
                 self.context.clock(),
                 deviations,
             )
             for deviations in (COMMON_DEVIATIONS, USUAL_DEVIATIONS)
         )
         return decisions.StallTimeouts(
-            common, usual, wanted.gap_s, _liveness.PROBE_TIMEOUT_S
+            common, usual, objective.gap_s, _liveness.PROBE_TIMEOUT_S
         )
 
     async def _read(self, answer: calls.BackendAnswer) -> bytes:
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -55,7 +55,7 @@
         self.longest_pause_s = 0.0
         self.failure_reply: calls.Reply | None = None
         self.tokens = job.call.prompt.tokens if job.call.prompt else 0
-        self.wanted = decisions.LatencyObjective(
+        self.objective = decisions.LatencyObjective(
             self.tokens,
             job.route.aim_s or job.route.timeout_s,
             job.route.gap_s or job.route.aim_s or job.route.timeout_s,
@@ -152,7 +152,7 @@
         return self.context.placement.estimate_capacity(
             self.job.service,
             self.context.clock(),
-            wanted=self.wanted,
+            objective=self.objective,
             memory=self.memory,
             but=but,
         )
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -153,7 +153,7 @@
         # The newest first: it can still meet its aim.
         for stream in reversed(list(waiting_streams)):
             estimate = placement.estimate_capacity(
-                's', now, wanted=OBJECTIVE, memory=MEMORY
+                's', now, objective=OBJECTIVE, memory=MEMORY
             )
             admission.waiting['s'] = len(waiting_streams)
             queue_s = admission.queue_s('s', estimate, 1, now)
@@ -273,11 +273,11 @@
     full = {'i0': messages.EngineLoad(40_000, 10, CAPACITY)}
     placement.apply_loads(messages.LoadSummary(1, full, []), 0.0)
     current = placement.estimate_capacity(
-        's', 0.1, wanted=OBJECTIVE, memory=MEMORY
+        's', 0.1, objective=OBJECTIVE, memory=MEMORY
     )
     assert current.first_s == float('inf')
     later = placement.estimate_capacity(
-        's', 10.0, wanted=OBJECTIVE, memory=MEMORY
+        's', 10.0, objective=OBJECTIVE, memory=MEMORY
     )
     assert later.idle
     assert later.first_s < AIM_S
