--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -25,7 +25,7 @@
 from bulrushhold.decisions._membership import Membership
 from bulrushhold.decisions._membership import PERIOD_S as MEMBERSHIP_PERIOD_S
 from bulrushhold.decisions._membership import PROBE_S as MEMBERSHIP_PROBE_S
-from bulrushhold.decisions._patience import leave_unread_s
+from bulrushhold.decisions._patience import first_event_timeout_s
 from bulrushhold.decisions._patience import StallTimeouts
 from bulrushhold.decisions._placed import BackendServer
 from bulrushhold.decisions._placing import Placement
@@ -122,8 +122,8 @@
     'entries_for',
     'entries_wanted',
     'fingerprint',
+    'first_event_timeout_s',
     'homes',
-    'leave_unread_s',
     'new_identity',
     'next_config',
     'ranked',
--- a/src/bulrushhold/decisions/_patience.py
+++ b/src/bulrushhold/decisions/_patience.py
@@ -29,41 +29,41 @@
     :param probe_timeout_s: time after which an unanswered probe has failed.
     """
 
-    common_pause_s: float
-    usual_pause_s: float
+    typical_pause_s: float
+    long_pause_s: float
     gap_s: float
-    asking_s: float
+    probe_timeout_s: float
 
     @property
-    def ask_after_s(self) -> float:
+    def probe_after_s(self) -> float:
         """Silence after which the engine is probed.
 
         Early enough for the next event to come from another engine within
         the longest pause allowed, but not at every pause, which would keep
         engines busy with probes.
         """
-        latest = self.gap_s - self.asking_s - self.usual_pause_s
+        latest = self.gap_s - self.probe_timeout_s - self.long_pause_s
         return max(
             MIN_PROBE_S,
-            min(self.usual_pause_s, max(latest, self.common_pause_s)),
+            min(self.long_pause_s, max(latest, self.typical_pause_s)),
         )
 
-    def leave_with_copy_s(self) -> float:
+    def failover_timeout_s(self) -> float:
         """Return the silence after which the stream fails over to its copy."""
         return max(
-            MAX_WAIT_RATIO * self.usual_pause_s,
+            MAX_WAIT_RATIO * self.long_pause_s,
             FAILOVER_GAP_SHARE * self.gap_s,
         )
 
-    def leave_without_copy_s(self, elsewhere_s: float) -> float:
+    def reread_timeout_s(self, elsewhere_s: float) -> float:
         """Return the silence after which another engine reads the prompt.
 
         :param elsewhere_s: time until another engine would have read it.
         """
-        return max(self.leave_with_copy_s(), MAX_WAIT_RATIO * elsewhere_s)
+        return max(self.failover_timeout_s(), MAX_WAIT_RATIO * elsewhere_s)
 
 
-def leave_unread_s(here_s: float, elsewhere_s: float) -> float:
+def first_event_timeout_s(here_s: float, elsewhere_s: float) -> float:
     """Return the timeout of the first event of a stream.
 
     :param here_s: time expected when the prompt was sent.
--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -89,7 +89,7 @@
         self.expected_first_s = 0.0
         self.pauses_reported_at = self.last_event_at = self.started_at
         self.stall_timeouts = self._make_stall_timeouts()
-        self.pauses = decisions.PauseSamples(self.stall_timeouts.usual_pause_s)
+        self.pauses = decisions.PauseSamples(self.stall_timeouts.long_pause_s)
 
     async def run(self) -> calls.Reply | None:
         answer = await self._open()
@@ -202,7 +202,7 @@
                 'no event before the deadline', unreachable=False
             )
         elsewhere_s = self.stream.estimate_capacity(self.engine.ident).first_s
-        if waited > decisions.leave_unread_s(
+        if waited > decisions.first_event_timeout_s(
             self.expected_first_s, elsewhere_s
         ):
             raise StreamLostError(
@@ -356,7 +356,7 @@
         silence = _liveness.SilenceTimer(self.context.clock)
         while True:
             probe_after_s = (
-                self.stall_timeouts.ask_after_s
+                self.stall_timeouts.probe_after_s
                 if self.received_event
                 else FIRST_ASK_S
             )
@@ -393,15 +393,15 @@
 
     def _stall_timeout_s(self) -> float:
         if self._has_copy():
-            return self.stall_timeouts.leave_with_copy_s()
+            return self.stall_timeouts.failover_timeout_s()
         elsewhere_s = self.stream.estimate_capacity(self.engine.ident).first_s
-        return self.stall_timeouts.leave_without_copy_s(elsewhere_s)
+        return self.stall_timeouts.reread_timeout_s(elsewhere_s)
 
     def _report_pauses(self, now: float) -> None:
         self.speeds.paused(self.stream.job.service, self.pauses, now)
         self.pauses_reported_at = now
         self.stall_timeouts = self._make_stall_timeouts()
-        self.pauses = decisions.PauseSamples(self.stall_timeouts.usual_pause_s)
+        self.pauses = decisions.PauseSamples(self.stall_timeouts.long_pause_s)
 
     def _make_stall_timeouts(self) -> decisions.StallTimeouts:
         objective = self.stream.objective
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -118,20 +118,22 @@
     timeouts = decisions.StallTimeouts(
         typical_pause_s, long_pause_s, OBJECTIVE.gap_s, 0.18
     )
-    assert timeouts.ask_after_s > idle_pause_s
+    assert timeouts.probe_after_s > idle_pause_s
     assert (
-        timeouts.ask_after_s < long_pause_s
+        timeouts.probe_after_s < long_pause_s
         or long_pause_s < OBJECTIVE.gap_s / 2
     )
     if 2 * reading_pause_s + 0.18 < OBJECTIVE.gap_s:
-        assert timeouts.ask_after_s + 0.18 + reading_pause_s < OBJECTIVE.gap_s
-    assert timeouts.leave_with_copy_s() > 2 * reading_pause_s
-    without_copy_s = timeouts.leave_without_copy_s(1.0)
-    assert without_copy_s >= 2.0 > timeouts.leave_with_copy_s()
+        assert (
+            timeouts.probe_after_s + 0.18 + reading_pause_s < OBJECTIVE.gap_s
+        )
+    assert timeouts.failover_timeout_s() > 2 * reading_pause_s
+    without_copy_s = timeouts.reread_timeout_s(1.0)
+    assert without_copy_s >= 2.0 > timeouts.failover_timeout_s()
 
 
 def test_the_first_event_timeout_follows_the_slower_engine():
-    assert decisions.leave_unread_s(1.0, 1.0) == 2.0
-    assert decisions.leave_unread_s(1.0, 5.0) == 10.0
-    assert decisions.leave_unread_s(6.0, 1.0) == 12.0
-    assert decisions.leave_unread_s(1.0, float('inf')) == float('inf')
+    assert decisions.first_event_timeout_s(1.0, 1.0) == 2.0
+    assert decisions.first_event_timeout_s(1.0, 5.0) == 10.0
+    assert decisions.first_event_timeout_s(6.0, 1.0) == 12.0
+    assert decisions.first_event_timeout_s(1.0, float('inf')) == float('inf')
