--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -142,7 +142,7 @@
     pauses = decisions.PauseSamples(0.2)
     costs = {
         0: cost_us(lambda: pauses.add(0.03)),
-        1: cost_us(lambda: learned.paused('s', pauses, 1.0)),
+        1: cost_us(lambda: learned.record_pauses('s', pauses, 1.0)),
         2: cost_us(lambda: learned.token_s('s', OBJECTIVE, 1.0)),
         3: cost_us(lambda: learned.pause_s('s', OBJECTIVE, 1.0, 4.0)),
     }
--- a/src/bulrushhold/decisions/_known.py
+++ b/src/bulrushhold/decisions/_known.py
@@ -282,7 +282,7 @@
             self.pending_replaced.append(ident)
             self.on_news()
 
-    def read(self, part: str, ident: str, now: float) -> None:
+    def record_read(self, part: str, ident: str, now: float) -> None:
         """Record that an engine has read and cached a part of a prompt."""
         if part:
             self.cached_prompts[part] = (ident, now)
--- a/src/bulrushhold/decisions/_placing.py
+++ b/src/bulrushhold/decisions/_placing.py
@@ -248,7 +248,7 @@
         *,
         objective: _speeds.LatencyObjective,
         memory: int,
-        but: str = '',
+        excluding: str = '',
     ) -> _admissioncontrol.CapacityEstimate:
         """Estimate how soon and how often engines can take one more prompt.
 
@@ -256,12 +256,14 @@
         :param excluding: engine to leave out, to compare it with the others.
         """
         tokens = objective.tokens
-        token_s = self.speeds.token_s(service, objective, now, but=but)
+        token_s = self.speeds.token_s(
+            service, objective, now, excluding=excluding
+        )
         healthy = [
             b
             for b in self.usable(service)
             if b.suspect_until <= now
-            and b.ident != but
+            and b.ident != excluding
             and not self.health_penalty(b, now)
         ]
         first_s = float('inf')
--- a/src/bulrushhold/decisions/_speeds.py
+++ b/src/bulrushhold/decisions/_speeds.py
@@ -93,7 +93,7 @@
 
     # Recording samples
 
-    def reads(
+    def start_read(
         self, service: str, engine: str, tokens: int, now: float
     ) -> PromptRead:
         """Record that a prompt was sent, with ``tokens`` to be read."""
@@ -101,11 +101,11 @@
         self.pending_reads.add(reading)
         return reading
 
-    def read(
+    def record_read(
         self, reading: PromptRead, objective: LatencyObjective, now: float
     ) -> None:
         """Record that a prompt was read: its first event has arrived."""
-        self.forget(reading)
+        self.cancel_read(reading)
         token_s = self.token_s(reading.service, objective, now)
         max_s = MAX_SAMPLE_RATIO * token_s * reading.tokens
         read_s = min(now - reading.started_at, max_s)
@@ -115,11 +115,13 @@
             now,
         )
 
-    def forget(self, reading: PromptRead) -> None:
+    def cancel_read(self, reading: PromptRead) -> None:
         """Discard a pending read whose result is no longer awaited."""
         self.pending_reads.discard(reading)
 
-    def paused(self, service: str, pauses: PauseSamples, now: float) -> None:
+    def record_pauses(
+        self, service: str, pauses: PauseSamples, now: float
+    ) -> None:
         """Record the pauses between events of a run."""
         sample = messages.EngineSpeed(
             pauses=pauses.count,
@@ -151,7 +153,7 @@
         objective: LatencyObjective,
         now: float,
         *,
-        but: str = '',
+        excluding: str = '',
     ) -> float:
         """Return the seconds that an engine needs to read a token.
 
@@ -169,7 +171,7 @@
         seconds = samples.read_s + PRIOR_WEIGHT_PROMPTS * expected_s
         token_s = seconds / tokens
         for reading in self.pending_reads:
-            if reading.service != service or reading.engine == but:
+            if reading.service != service or reading.engine == excluding:
                 continue
             waited = now - reading.started_at
             if waited > token_s * reading.tokens:
--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -121,7 +121,7 @@
     def close(self) -> None:
         """Close the connection, so that the engine stops generating."""
         if self.read_sample is not None:
-            self.speeds.forget(self.read_sample)
+            self.speeds.cancel_read(self.read_sample)
         if self.send_task is not None:
             self._cancel_send(self.send_task)
         if self.renewal is not None:
@@ -189,7 +189,7 @@
         now = self.context.clock()
         tokens = self.engine.reading + self.engine.others.reading
         service = self.stream.job.service
-        self.read_sample = self.speeds.reads(
+        self.read_sample = self.speeds.start_read(
             service, self.engine.ident, tokens, now
         )
         token_s = self.speeds.token_s(service, self.stream.objective, now)
@@ -339,11 +339,13 @@
         if not self.received_event:
             self.received_event = True
             if self.read_sample is not None:
-                self.speeds.read(self.read_sample, self.stream.objective, now)
+                self.speeds.record_read(
+                    self.read_sample, self.stream.objective, now
+                )
             self.context.placement.has_read(self.engine, self.reading)
             self.reading = 0
             self.stream.record_resumption(self.engine.ident)
-            self.context.placement.read(
+            self.context.placement.record_read(
                 self.stream.last_segment, self.engine.ident, now
             )
         caller_stream = self.stream.caller_stream
@@ -398,7 +400,7 @@
         return self.stall_timeouts.reread_timeout_s(elsewhere_s)
 
     def _report_pauses(self, now: float) -> None:
-        self.speeds.paused(self.stream.job.service, self.pauses, now)
+        self.speeds.record_pauses(self.stream.job.service, self.pauses, now)
         self.pauses_reported_at = now
         self.stall_timeouts = self._make_stall_timeouts()
         self.pauses = decisions.PauseSamples(self.stall_timeouts.long_pause_s)
--- a/src/bulrushhold/forwarding/_prompts.py
+++ b/src/bulrushhold/forwarding/_prompts.py
@@ -51,5 +51,5 @@
     if not holders:
         return False
     best = min(holders, key=lambda h: h.reading + h.others.reading)
-    context.placement.read(segment, best.ident, context.clock())
+    context.placement.record_read(segment, best.ident, context.clock())
     return True
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -144,7 +144,9 @@
         self._log_end('stream refused', reason=reason)
         return _parts.not_run_error(self.job, reason, retry_after_s)
 
-    def estimate_capacity(self, but: str = '') -> decisions.CapacityEstimate:
+    def estimate_capacity(
+        self, excluding: str = ''
+    ) -> decisions.CapacityEstimate:
         """Estimate how soon engines could serve this stream's prompt.
 
         :param but: engine to leave out of the estimate.
@@ -154,7 +156,7 @@
             self.context.clock(),
             objective=self.objective,
             memory=self.memory,
-            but=but,
+            excluding=excluding,
         )
 
     def remaining_s(self) -> float:
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -114,7 +114,7 @@
             if stream['unread'] <= 1e-9:
                 self.queue.pop(0)
                 stream['first'] = now
-                self.speeds.read(stream['reading'], OBJECTIVE, now)
+                self.speeds.record_read(stream['reading'], OBJECTIVE, now)
                 self.running.append(now + DECODE_S + len(self.running))
 
 
@@ -181,7 +181,7 @@
             )
             simulated[chosen.ident].queue.append(stream)
             chosen.reading += PROMPT
-            stream['reading'] = speeds.reads(
+            stream['reading'] = speeds.start_read(
                 's', chosen.ident, chosen.reading, now
             )
             chosen.memory += MEMORY
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -112,7 +112,7 @@
 
 def test_requests_prefer_the_engine_that_has_cached_their_prompt():
     placement = make_placement()
-    placement.read('session-7', 'i4', 0.0)
+    placement.record_read('session-7', 'i4', 0.0)
     assert choose_engine(placement, now=1.0, part='session-7').ident == 'i4'
     placement.began(placement.backends['i4'], 30000)
     assert choose_engine(placement, now=1.0, part='session-7').ident != 'i4'
@@ -300,7 +300,7 @@
         engine = choose_engine(first, part=part)
         holders = second.likely_keepers('engines', part, 1.0)
         assert engine.ident in {holder.ident for holder in holders}
-        second.read(part, engine.ident, 1.0)
+        second.record_read(part, engine.ident, 1.0)
         same += choose_engine(second, now=1.0, part=part).ident == engine.ident
     assert same == 40
 
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -13,15 +13,15 @@
 
 def add_reads(speeds, seconds, at, count=1, engine='i0'):
     for number in range(count):
-        reading = speeds.reads('s', engine, 8000, at + number)
-        speeds.read(reading, OBJECTIVE, at + number + seconds)
+        reading = speeds.start_read('s', engine, 8000, at + number)
+        speeds.record_read(reading, OBJECTIVE, at + number + seconds)
 
 
 def add_pauses(speeds, at, *seconds):
     pauses = decisions.PauseSamples(speeds.pause_s('s', OBJECTIVE, at, 4.0))
     for pause_s in seconds:
         pauses.add(pause_s)
-    speeds.paused('s', pauses, at)
+    speeds.record_pauses('s', pauses, at)
 
 
 @pytest.mark.parametrize('speed', SPEEDS)
@@ -87,7 +87,7 @@
     speeds = decisions.EngineSpeeds()
     add_reads(speeds, READ_S, 0.0, count=10)
     for number in range(6):
-        speeds.reads('s', f'i{number}', 8000, 10.0)
+        speeds.start_read('s', f'i{number}', 8000, 10.0)
     baseline = speeds.token_s('s', OBJECTIVE, 11.0)
     assert speeds.token_s('s', OBJECTIVE, 14.0) > 2 * baseline
 
@@ -96,11 +96,11 @@
     # A single stalled engine, with its pending reads.
     speeds = decisions.EngineSpeeds()
     add_reads(speeds, READ_S, 0.0, count=10)
-    readings = [speeds.reads('s', 'stuck', 8000, 10.0) for _ in range(4)]
-    others = speeds.token_s('s', OBJECTIVE, 14.0, but='stuck')
+    readings = [speeds.start_read('s', 'stuck', 8000, 10.0) for _ in range(4)]
+    others = speeds.token_s('s', OBJECTIVE, 14.0, excluding='stuck')
     assert 8000 * others < 1.3 * READ_S
     for reading in readings:
-        speeds.forget(reading)
+        speeds.cancel_read(reading)
     assert speeds.token_s('s', OBJECTIVE, 14.0) == pytest.approx(others)
 
 
