--- a/src/bulrushhold/composition/_forwarding.py
+++ b/src/bulrushhold/composition/_forwarding.py
@@ -81,7 +81,7 @@
             config.repeat_allowance,
             config.repeat_window_s,
         )
-        crashers = decisions.PoisonRequestDetector(placement.lost_near)
+        crashers = decisions.PoisonRequestDetector(placement.count_losses_near)
         admission = decisions.AdmissionController()
         self.fleet = forwarding.Fleet(
             messages.ListedEntry(
--- a/src/bulrushhold/decisions/_crashers.py
+++ b/src/bulrushhold/decisions/_crashers.py
@@ -52,9 +52,9 @@
     """
 
     def __init__(
-        self, lost_near: cabc.Callable[[str, float, float], int]
+        self, count_losses_near: cabc.Callable[[str, float, float], int]
     ) -> None:
-        self.lost_near = lost_near
+        self.count_losses_near = count_losses_near
         self.unconfirmed: list[_Crash] = []
         self.pending_reports: list[messages.CrashReport] = []
         self.crashes: dict[str, dict[str, float]] = {}
@@ -76,7 +76,7 @@
             if now - crash.at < CORRELATED_WINDOW_S
         ]
         for crash in due:
-            nearby_losses = self.lost_near(
+            nearby_losses = self.count_losses_near(
                 crash.engine, crash.at, CORRELATED_WINDOW_S
             )
             if nearby_losses < MIN_CORRELATED_LOSSES:
@@ -90,7 +90,7 @@
         pending_reports, self.pending_reports = self.pending_reports, []
         return pending_reports
 
-    def report_again(self, reports: list[messages.CrashReport]) -> None:
+    def requeue_events(self, reports: list[messages.CrashReport]) -> None:
         """Queue reports that may not have been delivered."""
         self.pending_reports = reports + self.pending_reports
 
--- a/src/bulrushhold/decisions/_known.py
+++ b/src/bulrushhold/decisions/_known.py
@@ -46,7 +46,7 @@
     """All known backend servers with their load and failures."""
 
     def __init__(self) -> None:
-        self.on_news: t.Callable[[], None] = _do_nothing
+        self.on_load_change: t.Callable[[], None] = _do_nothing
         self.pending_losses: list[str] = []
         self.pending_replaced: list[str] = []
         self.last_report_at = 0.0
@@ -77,7 +77,9 @@
                     item.address,
                     item.data_centre,
                     item.slots,
-                    others=self.remote_loads.get(item.ident, _placed.NO_LOAD),
+                    remote_load=self.remote_loads.get(
+                        item.ident, _placed.NO_LOAD
+                    ),
                 )
             server.leaving = item.leaving
             backends[item.ident] = server
@@ -125,9 +127,11 @@
         seem full for good, and streams would wait beside idle engines.
         """
         is_current = now - self.last_report_at < LOAD_REPORT_TTL_S
-        return backend.others if is_current else _placed.NO_LOAD
+        return backend.remote_load if is_current else _placed.NO_LOAD
 
-    def keeps_copy(self, backend: _placed.BackendServer, since: float) -> bool:
+    def may_hold_copy(
+        self, backend: _placed.BackendServer, since: float
+    ) -> bool:
         """Return whether a copy made at ``since`` can still exist."""
         return (
             backend.ident in self.backends
@@ -150,12 +154,12 @@
             return
         self._sample_failure(backend, 1.0, now)
         if unreachable:
-            if backend.suspect_until <= now:
+            if backend.ejected_until <= now:
                 self.pending_losses.append(ident)
-                self.on_news()
+                self.on_load_change()
             self._eject(backend, now)
 
-    def lost_near(self, ident: str, at: float, within: float) -> int:
+    def count_losses_near(self, ident: str, at: float, within: float) -> int:
         """Count the engines of a data centre lost at about the same time.
 
         :param ident: an engine of the data centre; it is counted as well.
@@ -172,7 +176,7 @@
 
     def _eject(self, backend: _placed.BackendServer, now: float) -> None:
         backend.lost_at = now
-        backend.suspect_until = now + EJECTION_S
+        backend.ejected_until = now + EJECTION_S
         location = (backend.service, backend.data_centre)
         recent = self.data_centre_failures.setdefault(
             location, collections.deque(maxlen=8)
@@ -180,18 +184,20 @@
         if all(ident != backend.ident for _, ident in recent):
             recent.append((now, backend.ident))
 
-    def succeeded(self, ident: str, now: float, latency: float | None) -> None:
+    def record_success(
+        self, ident: str, now: float, latency: float | None
+    ) -> None:
         """Record a successful request and its latency, if measured."""
         backend = self.backends.get(ident)
         if backend is None:
             return
         self._sample_failure(backend, 0.0, now)
-        backend.suspect_until = 0.0
+        backend.ejected_until = 0.0
         if latency is not None:
             old = backend.latency or latency
             backend.latency = old + LATENCY_SMOOTHING * (latency - old)
 
-    def reported(
+    def record_reported_load(
         self, ident: str, running: int, waiting: int, now: float
     ) -> None:
         """Record the load that a server reported about itself."""
@@ -201,22 +207,26 @@
             backend.remote_requests = max(0.0, remote_requests)
             backend.remote_requests_at = now
 
-    def began(self, backend: _placed.BackendServer, tokens: int) -> None:
+    def stream_started(
+        self, backend: _placed.BackendServer, tokens: int
+    ) -> None:
         """Count a stream sent to an engine, with its prompt yet to be read."""
         backend.inflight += 1
         backend.reading += tokens
-        self.on_news()
+        self.on_load_change()
 
-    def has_read(self, backend: _placed.BackendServer, tokens: int) -> None:
+    def prompt_read(self, backend: _placed.BackendServer, tokens: int) -> None:
         """Count a stream's prompt as read."""
         backend.reading -= tokens
-        self.on_news()
+        self.on_load_change()
 
-    def ended(self, backend: _placed.BackendServer, tokens: int) -> None:
+    def stream_ended(
+        self, backend: _placed.BackendServer, tokens: int
+    ) -> None:
         """Remove a stream from an engine, with its unread prompt tokens."""
         backend.inflight -= 1
         backend.reading -= tokens
-        self.on_news()
+        self.on_load_change()
 
     def load_report(
         self,
@@ -243,16 +253,18 @@
         if not summary.since:
             self.remote_loads = dict(summary.engines)
             for ident, backend in self.backends.items():
-                backend.others = self.remote_loads.get(ident, _placed.NO_LOAD)
+                backend.remote_load = self.remote_loads.get(
+                    ident, _placed.NO_LOAD
+                )
             return
         self.remote_loads.update(summary.engines)
         for ident, load in summary.engines.items():
             if load == _placed.NO_LOAD:
                 del self.remote_loads[ident]
             if ident in self.backends:
-                self.backends[ident].others = load
+                self.backends[ident].remote_load = load
 
-    def report_again(self, report: messages.LoadReport) -> None:
+    def requeue_events(self, report: messages.LoadReport) -> None:
         """Queue the events of a report that may not have been delivered."""
         self.pending_losses = report.lost + self.pending_losses
         self.pending_replaced = report.replaced + self.pending_replaced
@@ -270,7 +282,7 @@
         self._apply_engines(summary)
         for ident in summary.lost:
             backend = self.backends.get(ident)
-            if backend is not None and backend.suspect_until <= now:
+            if backend is not None and backend.ejected_until <= now:
                 self._eject(backend, now)
         for ident in summary.replaced:
             self.replaced_idents.add(ident)
@@ -280,7 +292,7 @@
         if ident not in self.replaced_idents:
             self.replaced_idents.add(ident)
             self.pending_replaced.append(ident)
-            self.on_news()
+            self.on_load_change()
 
     def record_read(self, part: str, ident: str, now: float) -> None:
         """Record that an engine has read and cached a part of a prompt."""
--- a/src/bulrushhold/decisions/_placed.py
+++ b/src/bulrushhold/decisions/_placed.py
@@ -44,8 +44,8 @@
     latency: float = 0.0
     failures: float = 0.0
     failed_at: float = 0.0
-    suspect_until: float = 0.0
-    others: messages.EngineLoad = NO_LOAD
+    ejected_until: float = 0.0
+    remote_load: messages.EngineLoad = NO_LOAD
     lost_at: float = float('-inf')
 
     def remote_requests_now(self, now: float) -> float:
--- a/src/bulrushhold/decisions/_placing.py
+++ b/src/bulrushhold/decisions/_placing.py
@@ -75,7 +75,7 @@
         self.rng = rng
 
     def choose(
-        self, service: str, now: float, *, once: bool, tried: set[str]
+        self, service: str, now: float, *, at_most_once: bool, tried: set[str]
     ) -> _placed.BackendServer | None:
         """Return the server with the shortest expected wait.
 
@@ -83,7 +83,9 @@
         :param tried: idents of the servers already tried.
         """
         weight = (
-            AT_MOST_ONCE_FAILURE_WEIGHT if once else IDEMPOTENT_FAILURE_WEIGHT
+            AT_MOST_ONCE_FAILURE_WEIGHT
+            if at_most_once
+            else IDEMPOTENT_FAILURE_WEIGHT
         )
 
         def wait(backend: _placed.BackendServer) -> float:
@@ -143,7 +145,7 @@
         best = self._best(service, now, tried, wait, preferred=preferred)
         if best is None:
             return None
-        idle = not best.reading + best.others.reading
+        idle = not best.reading + best.remote_load.reading
         if idle and self.has_room(best, now, tokens, _known.MAX_MEMORY_SHARE):
             return best
         # All preferred engines are reading or full: consider all others too.
@@ -157,7 +159,7 @@
 
         return self._best(service, now, tried, jittered_wait)
 
-    def likely_keepers(
+    def likely_cache_holders(
         self, service: str, part: str, now: float
     ) -> list[_placed.BackendServer]:
         """Return the engines that may have a part of a prompt cached.
@@ -169,7 +171,7 @@
         return [
             backend
             for ident in self._affinity_ranks(service, part, set())
-            if (backend := self.backends[ident]).suspect_until <= now
+            if (backend := self.backends[ident]).ejected_until <= now
         ]
 
     def _is_load_stale(self, service: str, now: float) -> bool:
@@ -201,7 +203,7 @@
 
         def cost(backend: _placed.BackendServer) -> float:
             same_data_centre = backend.data_centre == engine.data_centre
-            others = backend.others
+            others = backend.remote_load
             load = backend.inflight + others.running
             return (
                 load
@@ -262,7 +264,7 @@
         healthy = [
             b
             for b in self.usable(service)
-            if b.suspect_until <= now
+            if b.ejected_until <= now
             and b.ident != excluding
             and not self.health_penalty(b, now)
         ]
@@ -322,14 +324,14 @@
     ) -> _placed.BackendServer | None:
         usable = self.usable(service)
         untried = [b for b in usable if b.ident not in tried]
-        healthy = [b for b in untried if b.suspect_until <= now]
+        healthy = [b for b in untried if b.ejected_until <= now]
         if healthy:
             shortlist = [b for b in healthy if b.ident in preferred]
             return min(shortlist or healthy, key=cost)
         if strict or not untried:
             return None
         # All are ejected: the one ejected first is the likeliest to be back.
-        return min(untried, key=lambda b: b.suspect_until)
+        return min(untried, key=lambda b: b.ejected_until)
 
     def _affinity_ranks(
         self, service: str, part: str, tried: set[str]
--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -125,7 +125,7 @@
         self.budget = decisions.ServiceRetryBudget(0.8, 150.0, 10.0)
         self.admission = decisions.AdmissionController()
         self.placement = decisions.Placement(system.rng)
-        self.placement.on_news = self._schedule_report
+        self.placement.on_load_change = self._schedule_report
         self.report_scheduled = False
         self.summary_number = 0
         self.parts = forwarding.Parts(
@@ -133,7 +133,7 @@
             client,
             self.budget,
             node.NoMetrics(),
-            decisions.PoisonRequestDetector(self.placement.lost_near),
+            decisions.PoisonRequestDetector(self.placement.count_losses_near),
             self.admission,
             loop.time,
         )
--- a/src/bulrushhold/forwarding/_admission.py
+++ b/src/bulrushhold/forwarding/_admission.py
@@ -63,7 +63,7 @@
             if outcome is not decisions.AdmissionDecision.WAIT:
                 break
             if now == started:
-                context.placement.on_news()
+                context.placement.on_load_change()
             admission.held(now)
             await asyncio.sleep(
                 decisions.ADMISSION_CHECK_S * (0.5 + random.random())
--- a/src/bulrushhold/forwarding/_fleet.py
+++ b/src/bulrushhold/forwarding/_fleet.py
@@ -77,7 +77,7 @@
         self.summary_number = 0
         self.became_ready = asyncio.Event()
         self.load_changed = asyncio.Event()
-        placement.on_news = self.load_changed.set
+        placement.on_load_change = self.load_changed.set
         self.on_change: list[cabc.Callable[[], None]] = []
 
     @property
@@ -233,8 +233,8 @@
             loguru.logger.bind(peer=self.server, error=str(error)).warning(
                 'load report not acknowledged'
             )
-            self.placement.report_again(report)
-            self.crashers.report_again(report.crashes)
+            self.placement.requeue_events(report)
+            self.crashers.requeue_events(report.crashes)
             self.load_changed.set()
 
     def _load_report(self, now: float) -> messages.LoadReport:
--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_flow.py
@@ -109,7 +109,7 @@
             return await self._failure_reply(answer)
         await self._relay(answer)
         now = self.context.clock()
-        self.context.placement.succeeded(self.engine.ident, now, None)
+        self.context.placement.record_success(self.engine.ident, now, None)
         if self.copy is None and self.stream.job.call.after is None:
             self.speeds.record_run(
                 self.stream.job.service, now - self.started_at, now
@@ -187,7 +187,7 @@
             # A resumed prompt may be cached, which would distort the speed.
             return
         now = self.context.clock()
-        tokens = self.engine.reading + self.engine.others.reading
+        tokens = self.engine.reading + self.engine.remote_load.reading
         service = self.stream.job.service
         self.read_sample = self.speeds.start_read(
             service, self.engine.ident, tokens, now
@@ -263,7 +263,7 @@
 
     def _may_hold_copy(self, backup: decisions.BackendServer) -> bool:
         since = self.stream.backup_since
-        return self.context.placement.keeps_copy(backup, since)
+        return self.context.placement.may_hold_copy(backup, since)
 
     async def _renew_copy(self) -> None:
         stream = self.stream
@@ -342,7 +342,7 @@
                 self.speeds.record_read(
                     self.read_sample, self.stream.objective, now
                 )
-            self.context.placement.has_read(self.engine, self.reading)
+            self.context.placement.prompt_read(self.engine, self.reading)
             self.reading = 0
             self.stream.record_resumption(self.engine.ident)
             self.context.placement.record_read(
--- a/src/bulrushhold/forwarding/_parts.py
+++ b/src/bulrushhold/forwarding/_parts.py
@@ -82,6 +82,6 @@
 def record_load(context: Parts, ident: str, head: calls.AnswerHead) -> None:
     """Record the server load that an answer reports."""
     if head.load is not None:
-        context.placement.reported(
+        context.placement.record_reported_load(
             ident, head.load.running, head.load.waiting, context.clock()
         )
--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -77,7 +77,7 @@
         return self.context.placement.choose(
             self.job.service,
             self.context.clock(),
-            once=not self.repeatable,
+            at_most_once=not self.repeatable,
             tried=self.tried,
         )
 
@@ -152,7 +152,7 @@
         """Whether another attempt at a healthy server is possible."""
         others = self.context.placement.usable(self.job.service)
         return self.attempts + 1 < self.job.route.max_attempts and any(
-            b.ident not in self.tried and b.suspect_until == 0 for b in others
+            b.ident not in self.tried and b.ejected_until == 0 for b in others
         )
 
     async def _exchange(self, backend: decisions.BackendServer) -> _Result:
@@ -196,7 +196,7 @@
         now = self.context.clock()
         succeeded = result.reply is not None and result.reply.status < 500
         if succeeded:
-            self.context.placement.succeeded(backend.ident, now, seconds)
+            self.context.placement.record_success(backend.ident, now, seconds)
             return
         unreachable = (
             result.ran is errors.Ran.NO
--- a/src/bulrushhold/forwarding/_prompts.py
+++ b/src/bulrushhold/forwarding/_prompts.py
@@ -19,7 +19,7 @@
 
     :param segment: name of the prompt's last segment.
     """
-    candidates = context.placement.likely_keepers(
+    candidates = context.placement.likely_cache_holders(
         job.service, segment, context.clock()
     )
     answers = await asyncio.gather(
@@ -50,6 +50,6 @@
     )
     if not holders:
         return False
-    best = min(holders, key=lambda h: h.reading + h.others.reading)
+    best = min(holders, key=lambda h: h.reading + h.remote_load.reading)
     context.placement.record_read(segment, best.ident, context.clock())
     return True
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -173,8 +173,8 @@
         now = self.context.clock()
         if (
             backup is not None
-            and backup.suspect_until <= now
-            and self.context.placement.keeps_copy(backup, self.backup_since)
+            and backup.ejected_until <= now
+            and self.context.placement.may_hold_copy(backup, self.backup_since)
         ):
             return backup, copy or calls.RunCopy(backup.address)
         if self.lost_runs and not (await self._wait_for_admission()).admitted:
@@ -273,7 +273,7 @@
         self.backup = backup
         self.backup_since = self.context.clock()
         reading = 0 if copy else self.tokens
-        self.context.placement.began(engine, reading)
+        self.context.placement.stream_started(engine, reading)
         engine.memory += self.memory
         if backup is not None:
             backup.memory += self.memory
@@ -285,9 +285,9 @@
             copy=copy.address if copy else '',
             backup=backup.ident if backup else '',
             last=self.last_event_id,
-            reading=engine.reading + engine.others.reading,
-            running=engine.inflight + engine.others.running,
-            memory=engine.memory + engine.others.memory,
+            reading=engine.reading + engine.remote_load.reading,
+            running=engine.inflight + engine.remote_load.running,
+            memory=engine.memory + engine.remote_load.memory,
             load_age_s=round(
                 self.context.clock() - self.context.placement.last_report_at, 2
             ),
@@ -296,7 +296,7 @@
             return await engine_stream.run()
         finally:
             engine_stream.close()
-            self.context.placement.ended(engine, engine_stream.reading)
+            self.context.placement.stream_ended(engine, engine_stream.reading)
             engine.memory -= self.memory
             if engine_stream.backup is not None:
                 engine_stream.backup.memory -= self.memory
--- a/tests/forwarding/conftest.py
+++ b/tests/forwarding/conftest.py
@@ -33,7 +33,7 @@
         client,
         decisions.ServiceRetryBudget(1.0, 100, 10.0),
         node.NoMetrics(),
-        decisions.PoisonRequestDetector(placement.lost_near),
+        decisions.PoisonRequestDetector(placement.count_losses_near),
         decisions.AdmissionController(),
     )
 
--- a/tests/forwarding/test_crashers.py
+++ b/tests/forwarding/test_crashers.py
@@ -88,8 +88,8 @@
     )
     for ident, at in (('i0', 5.0), ('i1', 5.5), ('i2', 9.0), ('i3', 5.0)):
         placement.backends[ident].lost_at = at
-    assert placement.lost_near('i0', 5.0, 1.3) == 2
-    assert placement.lost_near('gone', 5.0, 1.3) == 0
+    assert placement.count_losses_near('i0', 5.0, 1.3) == 2
+    assert placement.count_losses_near('gone', 5.0, 1.3) == 0
 
 
 async def test_a_poison_request_is_refused_and_others_are_served(
@@ -124,7 +124,7 @@
         fakes.Script(events=(2,), then='crash'),
         fakes.Script(events=(3,)),
     ]
-    parts.crashers.lost_near = lambda engine, at, within: 1
+    parts.crashers.count_losses_near = lambda engine, at, within: 1
     await fakes.stream(parts)
     parts.crashers.settle(parts.clock() + 2.0)
     assert len(parts.crashers.take_pending()) == 2
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -206,7 +206,7 @@
     lost = parts.placement.load_report('e1', {}, parts.clock()).lost
     engine = f'i{client.attempts[0].address[7]}'
     assert lost == ([engine] if crashed else [])
-    assert (parts.placement.backends[engine].suspect_until > 0) is crashed
+    assert (parts.placement.backends[engine].ejected_until > 0) is crashed
 
 
 async def test_the_last_copy_is_used_if_its_renewal_fails(
@@ -303,7 +303,9 @@
 async def test_a_resuming_caller_is_routed_to_its_cached_prompt(client, parts):
     # Guards against a second prefill after the loss of all entries, also if
     # one of the engines does not answer the cache lookup.
-    candidates = parts.placement.likely_keepers('engines', 'p', parts.clock())
+    candidates = parts.placement.likely_cache_holders(
+        'engines', 'p', parts.clock()
+    )
     client.dead.add(candidates[0].address)
     client.segments_by_address[candidates[-1].address] = frozenset(
         ['other', 'p']
--- a/tests/test_fleet_control.py
+++ b/tests/test_fleet_control.py
@@ -82,7 +82,7 @@
             StaticBackendList(),
             placement,
             decisions.ServiceRetryBudget(1.0, 100, 10.0),
-            decisions.PoisonRequestDetector(placement.lost_near),
+            decisions.PoisonRequestDetector(placement.count_losses_near),
             decisions.AdmissionController(),
         )
         self.run(name, entry.follow())
@@ -111,7 +111,7 @@
     async def wait_for_running(self, count):
         """Wait until entry b counts this many streams of entry a."""
         backend = self.entries['b'].placement.backends['i1']
-        await self.core.until(lambda: backend.others.running == count)
+        await self.core.until(lambda: backend.remote_load.running == count)
 
 
 @pytest_asyncio.fixture
@@ -124,7 +124,7 @@
 
 async def test_entries_use_the_relay_of_their_data_centre(fleet):
     placement = fleet.entries['a'].placement
-    placement.began(placement.backends['i1'], 8000)
+    placement.stream_started(placement.backends['i1'], 8000)
     started_at = time.monotonic()
     await fleet.wait_for_running(1)
     assert time.monotonic() - started_at < 0.3
@@ -134,7 +134,7 @@
     now = time.monotonic()
     fleet.entries['a'].placement.record_failure('i2', now, unreachable=True)
     backend = fleet.entries['b'].placement.backends['i2']
-    await fleet.core.until(lambda: backend.suspect_until > now, 0.3)
+    await fleet.core.until(lambda: backend.ejected_until > now, 0.3)
 
 
 async def test_load_is_shared_without_a_leader(fleet):
@@ -144,7 +144,7 @@
     await fleet.core.stop(leader)
     placement = fleet.entries['a'].placement
     for count in range(1, 6):
-        placement.began(placement.backends['i1'], 8000)
+        placement.stream_started(placement.backends['i1'], 8000)
         async with asyncio.timeout(0.3):
             await fleet.wait_for_running(count)
 
@@ -154,11 +154,11 @@
     await fleet.stop('relay-a')
     entry = fleet.entries['a']
     entry.placement.record_failure('i3', time.monotonic(), unreachable=True)
-    entry.placement.began(entry.placement.backends['i1'], 8000)
+    entry.placement.stream_started(entry.placement.backends['i1'], 8000)
     started_at = time.monotonic()
     await fleet.wait_for_running(1)
     assert time.monotonic() - started_at < 1.5
-    assert fleet.entries['b'].placement.backends['i3'].suspect_until
+    assert fleet.entries['b'].placement.backends['i3'].ejected_until
     fleet.put(2)
     await fleet.core.until(lambda: entry.map_version == 2, 1.0)
     assert entry.count() == 2
@@ -173,7 +173,7 @@
 async def test_a_stopped_entry_is_no_longer_counted(fleet):
     """The load of an entry that has left must not be counted further."""
     placement = fleet.entries['a'].placement
-    placement.began(placement.backends['i1'], 8000)
+    placement.stream_started(placement.backends['i1'], 8000)
     await fleet.wait_for_running(1)
     await fleet.stop('a')
     await fleet.wait_for_running(0)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -30,7 +30,7 @@
     chosen = []
     for _ in range(6):
         engine = choose_engine(placement)
-        placement.began(engine, 8000)
+        placement.stream_started(engine, 8000)
         chosen.append(engine.ident)
     assert len(set(chosen)) == 6
 
@@ -41,7 +41,7 @@
     first, second = make_placement(), make_placement()
     for _ in range(5):
         engine = choose_engine(first)
-        first.began(engine, 8000)
+        first.stream_started(engine, 8000)
     loads = first.load_report('e1', {}, 0.0).engines
     second.apply_loads(messages.LoadSummary(1, loads, []), 0.0)
     assert choose_engine(second).ident not in loads
@@ -63,7 +63,7 @@
     for _ in range(4):
         engine = choose_engine(placement, now=0.2)
         assert engine.data_centre != 'dc0'
-        placement.began(engine, 8000)
+        placement.stream_started(engine, 8000)
     assert placement.load_report('e1', {}, 0.0).lost == ['i0', 'i3']
     assert placement.load_report('e1', {}, 0.0).lost == []
 
@@ -71,7 +71,7 @@
 def test_a_loss_reported_by_another_entry_is_not_reported_again():
     placement = make_placement()
     placement.apply_loads(messages.LoadSummary(1, {}, ['i1']), 0.0)
-    assert placement.backends['i1'].suspect_until > 0
+    assert placement.backends['i1'].ejected_until > 0
     assert placement.load_report('e1', {}, 0.0).lost == []
 
 
@@ -102,30 +102,30 @@
 def test_a_copy_is_lost_with_its_engine_or_its_restart():
     placement = make_placement()
     backup = placement.backends['i1']
-    assert placement.keeps_copy(backup, 0.0)
+    assert placement.may_hold_copy(backup, 0.0)
     placement.record_failure('i1', 1.0, unreachable=True)
-    assert not placement.keeps_copy(backup, 0.5)
-    assert placement.keeps_copy(backup, 1.5)
+    assert not placement.may_hold_copy(backup, 0.5)
+    assert placement.may_hold_copy(backup, 1.5)
     placement.update([])
-    assert not placement.keeps_copy(backup, 1.5)
+    assert not placement.may_hold_copy(backup, 1.5)
 
 
 def test_requests_prefer_the_engine_that_has_cached_their_prompt():
     placement = make_placement()
     placement.record_read('session-7', 'i4', 0.0)
     assert choose_engine(placement, now=1.0, part='session-7').ident == 'i4'
-    placement.began(placement.backends['i4'], 30000)
+    placement.stream_started(placement.backends['i4'], 30000)
     assert choose_engine(placement, now=1.0, part='session-7').ident != 'i4'
 
 
 def test_a_partly_failing_server_gets_no_at_most_once_requests():
     placement = make_placement(engines=3)
     for n in range(3):
-        placement.succeeded(f'i{n}', 0.0, 0.06)
+        placement.record_success(f'i{n}', 0.0, 0.06)
     for _ in range(4):
         placement.record_failure('i0', 0.0, unreachable=False)
     chosen = {
-        placement.choose('engines', 0.1, once=True, tried=set()).ident
+        placement.choose('engines', 0.1, at_most_once=True, tried=set()).ident
         for _ in range(50)
     }
     assert 'i0' not in chosen
@@ -164,7 +164,7 @@
     second.apply_loads(messages.LoadSummary(1, {}, [], report.replaced), 0.0)
     for placement in (first, second):
         assert 'i2' not in {b.ident for b in placement.usable('engines')}
-        assert not placement.keeps_copy(placement.backends['i2'], 1.0)
+        assert not placement.may_hold_copy(placement.backends['i2'], 1.0)
     assert second.load_report('e2', {}, 0.0).replaced == []
 
 
@@ -216,7 +216,7 @@
     for backend in placement.backends.values():
         backend.data_centre = 'dc0'
     placement.record_failure('i0', 0.0, unreachable=True)
-    placement.began(placement.backends['i1'], 8000)
+    placement.stream_started(placement.backends['i1'], 8000)
     assert choose_engine(placement, now=2.0).ident == 'i1'
     assert choose_engine(placement, now=7.0).ident == 'i0'
 
@@ -298,7 +298,7 @@
         }
         first.apply_loads(messages.LoadSummary(1, busy, []), 0.0)
         engine = choose_engine(first, part=part)
-        holders = second.likely_keepers('engines', part, 1.0)
+        holders = second.likely_cache_holders('engines', part, 1.0)
         assert engine.ident in {holder.ident for holder in holders}
         second.record_read(part, engine.ident, 1.0)
         same += choose_engine(second, now=1.0, part=part).ident == engine.ident
