--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -134,7 +134,7 @@
             entry_report = attrs.evolve(report, entry=f'e{number}')
             loads.take(entry_report, 0.0)
         report_costs[count] = cost_us(
-            lambda b=loads, s=report: (b.take(s, 0.0), b.others('e1', 0))
+            lambda b=loads, s=report: (b.take(s, 0.0), b.summary_for('e1', 0))
         )
     print_costs('load report at the leader, by entries', report_costs, 'us')
     learned = decisions.EngineSpeeds()
--- a/src/bulrushhold/control/_watch.py
+++ b/src/bulrushhold/control/_watch.py
@@ -120,7 +120,7 @@
         if self.loads.number < known:
             # The number is from a former start of this process.
             known = 0
-        return self.loads.others(watch.entry.name, known, self.clock())
+        return self.loads.summary_for(watch.entry.name, known, self.clock())
 
     async def _on_load_report(
         self, report: messages.LoadReport
@@ -140,7 +140,7 @@
 
     async def _on_node_load(self, load: messages.NodeLoad) -> None:
         previous = self.loads.number
-        if self.loads.take_node(load, self.clock()):
+        if self.loads.add_node_load(load, self.clock()):
             self._publish()
         elif self.loads.number != previous:
             self._publish_soon()
--- a/src/bulrushhold/decisions/_loadreports.py
+++ b/src/bulrushhold/decisions/_loadreports.py
@@ -123,7 +123,7 @@
         if self.reports.pop(entry, None):
             self.number += 1
 
-    def take_node(self, load: messages.NodeLoad, now: float) -> bool:
+    def add_node_load(self, load: messages.NodeLoad, now: float) -> bool:
         """Add another process's sum; return whether it contains new events."""
         node = self.nodes.get(load.node)
         if node is None or node.incarnation != load.incarnation:
@@ -186,7 +186,7 @@
 
     # Publishing
 
-    def others(
+    def summary_for(
         self, entry: str, since: int, now: float = 0.0
     ) -> messages.LoadSummary:
         """Return the load of all entries except one, as a summary.
--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -161,7 +161,7 @@
 
     def apply_load_summary(self, now: float) -> None:
         """Apply the load reports of all other entries."""
-        summary = self.system.load_aggregator.others(
+        summary = self.system.load_aggregator.summary_for(
             self.name, self.summary_number
         )
         self.summary_number = summary.number
--- a/tests/test_loadreports.py
+++ b/tests/test_loadreports.py
@@ -56,10 +56,10 @@
                 continue
             self.sent += 1
             if self.rng.random() >= self.loss:
-                node.take_node(load, self.now)
+                node.add_node_load(load, self.now)
 
     def summary(self, name, entry='nobody', since=0):
-        return self.nodes[name].others(entry, since, self.now)
+        return self.nodes[name].summary_for(entry, since, self.now)
 
 
 @pytest.fixture
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -197,16 +197,16 @@
         'e2', {'i1': use, 'i2': use}, ['i9'], ['i8'], traffic
     )
     assert loads.take(update, 0.0)
-    assert loads.others('e1', 0).engines == {'i1': use, 'i2': use}
-    total = loads.others('e3', 0)
+    assert loads.summary_for('e1', 0).engines == {'i1': use, 'i2': use}
+    total = loads.summary_for('e3', 0)
     assert total.engines['i1'] == messages.EngineLoad(16000, 2)
     assert total.traffic == {'engines': messages.ServiceTraffic(20, 4)}
     assert (total.lost, total.replaced) == (['i9'], ['i8'])
-    later = loads.others('e3', 2)
+    later = loads.summary_for('e3', 2)
     assert (later.lost, later.replaced) == ([], [])
     assert not loads.take(messages.LoadReport('e1', {}, ['i9']), 0.1)
     loads.forget('e2')
-    assert loads.others('e1', 0).engines == {}
+    assert loads.summary_for('e1', 0).engines == {}
 
 
 def test_a_recently_lost_engine_is_the_last_choice():
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -51,11 +51,11 @@
         placement.speeds.record_run('s', 9.0, 3.0)
         loads.take(placement.load_report(f'e{number}', {}, 3.0), 3.0)
     last = decisions.EngineSpeeds()
-    last.apply_loads(loads.others('e99', 0).speeds)
+    last.apply_loads(loads.summary_for('e99', 0).speeds)
     assert 8000 * last.token_s('s', OBJECTIVE, 3.0) > 2.7
     assert last.run_s('s', 3.0) == pytest.approx(9.0)
     own = decisions.EngineSpeeds()
-    own.apply_loads(loads.others('e1', 0).speeds)
+    own.apply_loads(loads.summary_for('e1', 0).speeds)
     assert own.remote['s'].runs == pytest.approx(9.0)
 
 
