--- a/src/bulrushhold/decisions/_admissioncontrol.py
+++ b/src/bulrushhold/decisions/_admissioncontrol.py
@@ -82,7 +82,7 @@
         self.remote_waiting = remote_waiting
         self.last_report_at = now
 
-    def held(self, now: float) -> None:
+    def record_wait(self, now: float) -> None:
         """Record that a stream has to wait."""
         self.last_wait_at = now
 
@@ -98,7 +98,7 @@
         left_s: float,
         aim_s: float,
         queue_s: float,
-        arrives: bool = False,
+        first_check: bool = False,
         begun: bool = False,
     ) -> AdmissionDecision:
         """Decide on a stream that has waited for ``waited_s``.
@@ -126,7 +126,7 @@
             return AdmissionDecision.PLACE
         if waited_s >= max_wait_s:
             return AdmissionDecision.REFUSE
-        if arrives and not begun and queue_s > max_wait_s:
+        if first_check and not begun and queue_s > max_wait_s:
             return AdmissionDecision.REFUSE
         return AdmissionDecision.WAIT
 
@@ -148,7 +148,7 @@
             return 0.0
         return waiting / estimate.per_s if estimate.per_s else float('inf')
 
-    def goes_now(
+    def should_admit_now(
         self,
         service: str,
         estimate: CapacityEstimate,
--- a/src/bulrushhold/forwarding/_admission.py
+++ b/src/bulrushhold/forwarding/_admission.py
@@ -51,12 +51,12 @@
                 left_s=job.deadline - now,
                 aim_s=job.route.aim_s,
                 queue_s=queue_s,
-                arrives=now == started,
+                first_check=now == started,
                 begun=begun,
             )
             if outcome is decisions.AdmissionDecision.PLACE:
                 draw = random.random()
-                if not admission.goes_now(
+                if not admission.should_admit_now(
                     service, estimate, entries, now, draw, begun=begun
                 ):
                     outcome = decisions.AdmissionDecision.WAIT
@@ -64,7 +64,7 @@
                 break
             if now == started:
                 context.placement.on_load_change()
-            admission.held(now)
+            admission.record_wait(now)
             await asyncio.sleep(
                 decisions.ADMISSION_CHECK_S * (0.5 + random.random())
             )
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -38,7 +38,7 @@
         left_s=left,
         aim_s=AIM_S,
         queue_s=admission.queue_s('s', estimate, 9, 0.0),
-        arrives=not waited,
+        first_check=not waited,
     )
 
 
@@ -163,7 +163,7 @@
                 left_s=25.0,
                 aim_s=AIM_S,
                 queue_s=queue_s,
-                arrives=stream['at'] == now,
+                first_check=stream['at'] == now,
             )
             if (
                 with_admission_control
@@ -312,7 +312,7 @@
     for step in range(round(seconds / decisions.ADMISSION_CHECK_S)):
         now = step * decisions.ADMISSION_CHECK_S
         for admission in controllers:
-            if admission.waiting['s'] and admission.goes_now(
+            if admission.waiting['s'] and admission.should_admit_now(
                 's', estimate, entries, now, rng.random()
             ):
                 admission.waiting['s'] = 0
@@ -339,8 +339,8 @@
     admission.waiting['s'] = 100
     estimate = decisions.CapacityEstimate(1.0, True, 9, 6.0)
     options = ('s', estimate, 9, 0.0, 0.99)
-    assert not admission.goes_now(*options)
-    assert admission.goes_now(*options, begun=True)
+    assert not admission.should_admit_now(*options)
+    assert admission.should_admit_now(*options, begun=True)
 
 
 def test_concurrent_copies_spread_over_several_engines():
