--- a/src/bulrushhold/composition/_forwarding.py
+++ b/src/bulrushhold/composition/_forwarding.py
@@ -81,7 +81,9 @@
             config.repeat_allowance,
             config.repeat_window_s,
         )
-        crashers = decisions.PoisonRequestDetector(placement.count_losses_near)
+        poison_requests = decisions.PoisonRequestDetector(
+            placement.count_losses_near
+        )
         admission = decisions.AdmissionController()
         self.fleet = forwarding.Fleet(
             messages.ListedEntry(
@@ -92,7 +94,7 @@
             self.adapters.make_backend_list(self.session),
             placement,
             budget,
-            crashers,
+            poison_requests,
             admission,
         )
         self.metrics = node.make_prometheus_metrics('bulrushhold_entry')
@@ -101,7 +103,7 @@
             self.client,
             budget,
             self.metrics,
-            crashers,
+            poison_requests,
             admission,
         )
         self.forwarder = forwarding.Forwarder(self.fleet, components)
--- a/src/bulrushhold/decisions/_crashers.py
+++ b/src/bulrushhold/decisions/_crashers.py
@@ -59,11 +59,11 @@
         self.pending_reports: list[messages.CrashReport] = []
         self.crashes: dict[str, dict[str, float]] = {}
 
-    def died(self, fingerprint: str, engine: str, now: float) -> None:
+    def record_crash(self, fingerprint: str, engine: str, now: float) -> None:
         """Record that an engine crashed while running a request."""
         self.unconfirmed.append(_Crash(fingerprint, engine, now))
 
-    def settle(self, now: float) -> None:
+    def confirm_crashes(self, now: float) -> None:
         """Count the crashes that proved isolated after the window."""
         due = [
             crash
@@ -101,11 +101,11 @@
         for report in reports:
             self._count(report.fingerprint, report.engine, now)
 
-    def served(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Clear the crashes of a request that completed."""
         self.crashes.pop(fingerprint, None)
 
-    def refused_for(self, fingerprint: str, now: float) -> float:
+    def remaining_block_s(self, fingerprint: str, now: float) -> float:
         """Return the seconds for which a request stays blocked, or 0."""
         crashes = self.crashes.get(fingerprint)
         if crashes is None:
--- a/src/bulrushhold/forwarding/_fleet.py
+++ b/src/bulrushhold/forwarding/_fleet.py
@@ -54,7 +54,7 @@
         backend_list: ports.BackendList,
         placement: decisions.Placement,
         budget: decisions.ServiceRetryBudget,
-        crashers: decisions.PoisonRequestDetector,
+        poison_requests: decisions.PoisonRequestDetector,
         admission: decisions.AdmissionController,
     ) -> None:
         self.me = me
@@ -62,7 +62,7 @@
         self.backend_list = backend_list
         self.placement = placement
         self.budget = budget
-        self.crashers = crashers
+        self.poison_requests = poison_requests
         self.admission = admission
         self.servers = decisions.ControlServers(
             me.data_centre, seeds, random.Random()
@@ -204,7 +204,7 @@
         self.summary_number = summary.number
         self.placement.apply_loads(summary, now)
         self.budget.apply_loads(summary.traffic, now)
-        self.crashers.add_reports(summary.crashes, now)
+        self.poison_requests.add_reports(summary.crashes, now)
         waiting = {
             name: traffic.waiting for name, traffic in summary.traffic.items()
         }
@@ -234,18 +234,18 @@
                 'load report not acknowledged'
             )
             self.placement.requeue_events(report)
-            self.crashers.requeue_events(report.crashes)
+            self.poison_requests.requeue_events(report.crashes)
             self.load_changed.set()
 
     def _load_report(self, now: float) -> messages.LoadReport:
-        self.crashers.settle(now)
+        self.poison_requests.confirm_crashes(now)
         traffic = {
             service: attrs.evolve(one, waiting=self.admission.waiting[service])
             for service, one in self.budget.traffic(now).items()
         }
         return attrs.evolve(
             self.placement.load_report(self.me.name, traffic, now),
-            crashes=self.crashers.take_pending(),
+            crashes=self.poison_requests.take_pending(),
         )
 
     def _apply_map(self, route_map: routes.RouteMap) -> None:
--- a/src/bulrushhold/forwarding/_forwarder.py
+++ b/src/bulrushhold/forwarding/_forwarder.py
@@ -117,7 +117,9 @@
     def _refuse_poison_request(
         self, fingerprint: str, service: str, now: float
     ) -> None:
-        seconds = self.context.crashers.refused_for(fingerprint, now)
+        seconds = self.context.poison_requests.remaining_block_s(
+            fingerprint, now
+        )
         if seconds:
             raise errors.RequestError(
                 'engines crashed repeatedly on this request',
--- a/src/bulrushhold/forwarding/_parts.py
+++ b/src/bulrushhold/forwarding/_parts.py
@@ -24,7 +24,7 @@
     client: calls.BackendClient
     budget: decisions.ServiceRetryBudget
     metrics: ports.Metrics
-    crashers: decisions.PoisonRequestDetector
+    poison_requests: decisions.PoisonRequestDetector
     admission: decisions.AdmissionController
     clock: cabc.Callable[[], float] = time.monotonic
 
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -101,7 +101,9 @@
                     return self._end_incomplete(reason, peer)
             else:
                 if reply is None:
-                    self.context.crashers.served(self.job.fingerprint)
+                    self.context.poison_requests.record_success(
+                        self.job.fingerprint
+                    )
                 self._log_end(
                     'stream whole' if reply is None else 'stream failed'
                 )
@@ -339,7 +341,9 @@
         if lost.unreachable:
             self.lost_data_centre = engine.data_centre
         if lost.unreachable and lost.sent:
-            self.context.crashers.died(self.job.fingerprint, engine.ident, now)
+            self.context.poison_requests.record_crash(
+                self.job.fingerprint, engine.ident, now
+            )
         if self.caller_stream.begun and self.interrupted_at is None:
             self.interrupted_at = now
         _parts.log(
--- a/tests/forwarding/conftest.py
+++ b/tests/forwarding/conftest.py
@@ -55,6 +55,6 @@
         None,
         parts.placement,
         parts.budget,
-        parts.crashers,
+        parts.poison_requests,
         parts.admission,
     )
--- a/tests/forwarding/test_crashers.py
+++ b/tests/forwarding/test_crashers.py
@@ -19,47 +19,47 @@
 
 def add_crashes(detector, fingerprint, engines):
     for number, engine in enumerate(engines):
-        detector.died(fingerprint, engine, float(number))
-    detector.settle(10.0)
+        detector.record_crash(fingerprint, engine, float(number))
+    detector.confirm_crashes(10.0)
 
 
 def test_a_request_that_crashed_three_engines_is_blocked():
     detector = make_detector()
     add_crashes(detector, 'bad', ['i0', 'i1'])
-    assert detector.refused_for('bad', 10.0) == 0
+    assert detector.remaining_block_s('bad', 10.0) == 0
     add_crashes(detector, 'bad', ['i2'])
-    assert 0 < detector.refused_for('bad', 10.0) <= 60
-    assert detector.refused_for('other', 10.0) == 0
+    assert 0 < detector.remaining_block_s('bad', 10.0) <= 60
+    assert detector.remaining_block_s('other', 10.0) == 0
 
 
 def test_repeated_crashes_of_one_engine_block_no_request():
     # A faulty engine fails under any request.
     detector = make_detector()
     add_crashes(detector, 'innocent', ['i0', 'i0', 'i0', 'i0'])
-    assert detector.refused_for('innocent', 10.0) == 0
+    assert detector.remaining_block_s('innocent', 10.0) == 0
 
 
 def test_correlated_losses_block_no_request():
     # Losses of a whole data centre, three times under the same stream.
     detector = make_detector(nearby_losses=5)
     add_crashes(detector, 'innocent', ['i0', 'i1', 'i2'])
-    assert detector.refused_for('innocent', 10.0) == 0
+    assert detector.remaining_block_s('innocent', 10.0) == 0
 
 
 def test_a_success_clears_the_crashes_of_a_request():
     detector = make_detector()
     add_crashes(detector, 'same-body', ['i0', 'i1'])
-    detector.served('same-body')
+    detector.record_success('same-body')
     add_crashes(detector, 'same-body', ['i2'])
-    assert detector.refused_for('same-body', 10.0) == 0
+    assert detector.remaining_block_s('same-body', 10.0) == 0
 
 
 def test_a_block_expires():
     # The engines may have been redeployed by then.
     detector = make_detector()
     add_crashes(detector, 'bad', ['i0', 'i1', 'i2'])
-    seconds = detector.refused_for('bad', 10.0)
-    assert detector.refused_for('bad', 10.0 + seconds) == 0
+    seconds = detector.remaining_block_s('bad', 10.0)
+    assert detector.remaining_block_s('bad', 10.0 + seconds) == 0
 
 
 def test_crash_reports_of_other_entries_count_once_each():
@@ -74,7 +74,7 @@
         )
         loads.take(report, 10.0)
         receiver.add_reports(loads.summary_for('e9', 0).crashes, 10.0)
-        assert bool(receiver.refused_for('bad', 10.0)) == (number == 2)
+        assert bool(receiver.remaining_block_s('bad', 10.0)) == (number == 2)
     assert detector.take_pending() == []
 
 
@@ -101,7 +101,7 @@
     forwarder = forwarding.Forwarder(fleet, parts)
     call = fakes.a_job(parts, routes.Kind.IDEMPOTENT).call
     poison = decisions.fingerprint('/a/x', call.key, b'bad')
-    parts.crashers.add_reports(
+    parts.poison_requests.add_reports(
         [messages.CrashReport(poison, f'i{n}') for n in range(3)],
         parts.clock(),
     )
@@ -124,7 +124,7 @@
         fakes.Script(events=(2,), then='crash'),
         fakes.Script(events=(3,)),
     ]
-    parts.crashers.count_losses_near = lambda engine, at, within: 1
+    parts.poison_requests.count_losses_near = lambda engine, at, within: 1
     await fakes.stream(parts)
-    parts.crashers.settle(parts.clock() + 2.0)
-    assert len(parts.crashers.take_pending()) == 2
+    parts.poison_requests.confirm_crashes(parts.clock() + 2.0)
+    assert len(parts.poison_requests.take_pending()) == 2
