--- a/src/bulrushhold/decisions/_repeats.py
+++ b/src/bulrushhold/decisions/_repeats.py
@@ -47,7 +47,7 @@
         self.request_times: dict[str, collections.deque[float]] = {}
         self.retry_times: dict[str, collections.deque[float]] = {}
 
-    def first(self, service: str, now: float) -> None:
+    def count_request(self, service: str, now: float) -> None:
         """Count a request received from a caller."""
         self._recent(self.request_times, service, now).append(now)
 
