--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -1,15 +1,19 @@
 """Decision logic without I/O: callers pass in time and random sources."""
 
+from bulrushhold.decisions._accountretries import AccountRetryBudget
 from bulrushhold.decisions._admissioncontrol import ADMISSION_CHECK_S
 from bulrushhold.decisions._admissioncontrol import AdmissionController
 from bulrushhold.decisions._admissioncontrol import AdmissionDecision
 from bulrushhold.decisions._admissioncontrol import CapacityEstimate
 from bulrushhold.decisions._admissioncontrol import retry_after_s
+from bulrushhold.decisions._backendserver import BackendServer
 from bulrushhold.decisions._claims import ClaimState
 from bulrushhold.decisions._controlservers import ControlServers
 from bulrushhold.decisions._copies import CopyStore
-from bulrushhold.decisions._crashers import fingerprint
-from bulrushhold.decisions._crashers import PoisonRequestDetector
+from bulrushhold.decisions._enginespeeds import EngineSpeeds
+from bulrushhold.decisions._enginespeeds import LatencyObjective
+from bulrushhold.decisions._enginespeeds import PauseSamples
+from bulrushhold.decisions._enginespeeds import PromptRead
 from bulrushhold.decisions._fairqueue import FairQueue
 from bulrushhold.decisions._homes import copy_peers
 from bulrushhold.decisions._homes import entries_for
@@ -18,17 +22,16 @@
 from bulrushhold.decisions._homes import ranked
 from bulrushhold.decisions._homes import SMALL_ACCOUNT_ENTRIES
 from bulrushhold.decisions._lifecycle import Lifecycle
-from bulrushhold.decisions._loadreports import LoadAggregator
+from bulrushhold.decisions._loadaggregator import LoadAggregator
 from bulrushhold.decisions._members import new_identity
 from bulrushhold.decisions._members import next_config
 from bulrushhold.decisions._members import with_learner
 from bulrushhold.decisions._membership import Membership
 from bulrushhold.decisions._membership import PERIOD_S as MEMBERSHIP_PERIOD_S
 from bulrushhold.decisions._membership import PROBE_S as MEMBERSHIP_PROBE_S
-from bulrushhold.decisions._patience import first_event_timeout_s
-from bulrushhold.decisions._patience import StallTimeouts
-from bulrushhold.decisions._placed import BackendServer
-from bulrushhold.decisions._placing import Placement
+from bulrushhold.decisions._placement import Placement
+from bulrushhold.decisions._poisonrequests import fingerprint
+from bulrushhold.decisions._poisonrequests import PoisonRequestDetector
 from bulrushhold.decisions._quota import LEASE_S as QUOTA_LEASE_S
 from bulrushhold.decisions._quota import QuotaHome
 from bulrushhold.decisions._quota import QuotaShare
@@ -39,9 +42,7 @@
 from bulrushhold.decisions._recovery import RecoveryPolicy
 from bulrushhold.decisions._recovery import ThriftyPolicy
 from bulrushhold.decisions._recovery import WorkBudget
-from bulrushhold.decisions._repeats import ServiceRetryBudget
 from bulrushhold.decisions._replica import Replica
-from bulrushhold.decisions._retries import AccountRetryBudget
 from bulrushhold.decisions._roles import Durable
 from bulrushhold.decisions._roles import Ready
 from bulrushhold.decisions._roles import Role
@@ -49,10 +50,9 @@
 from bulrushhold.decisions._routing import BackendState
 from bulrushhold.decisions._routing import Choice
 from bulrushhold.decisions._routing import Router
-from bulrushhold.decisions._speeds import EngineSpeeds
-from bulrushhold.decisions._speeds import LatencyObjective
-from bulrushhold.decisions._speeds import PauseSamples
-from bulrushhold.decisions._speeds import PromptRead
+from bulrushhold.decisions._serviceretries import ServiceRetryBudget
+from bulrushhold.decisions._stalltimeouts import first_event_timeout_s
+from bulrushhold.decisions._stalltimeouts import StallTimeouts
 from bulrushhold.decisions._statemachine import ReplicatedState
 from bulrushhold.decisions._suspects import content_fingerprint
 from bulrushhold.decisions._suspects import Suspects
--- a/src/bulrushhold/decisions/_known.py
+++ b/src/bulrushhold/decisions/_backendpool.py
@@ -7,8 +7,8 @@
 import collections
 import typing as t
 
-from bulrushhold.decisions import _placed
-from bulrushhold.decisions import _speeds
+from bulrushhold.decisions import _backendserver
+from bulrushhold.decisions import _enginespeeds
 from bulrushhold import messages
 
 # Weights of the newest sample in the moving averages of latency and failures.
@@ -54,9 +54,9 @@
         self.remote_loads: dict[str, messages.EngineLoad] = {}
         self.silent_data_centres: list[str] = []
         self.capacity: dict[str, int] = {}
-        self.speeds = _speeds.EngineSpeeds()
-        self.backends: dict[str, _placed.BackendServer] = {}
-        self.services: dict[str, list[_placed.BackendServer]] = {}
+        self.speeds = _enginespeeds.EngineSpeeds()
+        self.backends: dict[str, _backendserver.BackendServer] = {}
+        self.services: dict[str, list[_backendserver.BackendServer]] = {}
         self.replaced_idents: set[str] = set()
         self.data_centre_failures: dict[
             tuple[str, str], collections.deque[tuple[float, str]]
@@ -71,14 +71,14 @@
         for item in listed:
             server = self.backends.get(item.ident)
             if server is None or server.address != item.address:
-                server = _placed.BackendServer(
+                server = _backendserver.BackendServer(
                     item.ident,
                     item.service,
                     item.address,
                     item.data_centre,
                     item.slots,
                     remote_load=self.remote_loads.get(
-                        item.ident, _placed.NO_LOAD
+                        item.ident, _backendserver.NO_LOAD
                     ),
                 )
             server.leaving = item.leaving
@@ -89,7 +89,7 @@
         for backend in backends.values():
             self.services.setdefault(backend.service, []).append(backend)
 
-    def usable(self, service: str) -> list[_placed.BackendServer]:
+    def usable(self, service: str) -> list[_backendserver.BackendServer]:
         """Return the servers that may receive new requests."""
         return [
             backend
@@ -105,7 +105,7 @@
 
     def has_room(
         self,
-        backend: _placed.BackendServer,
+        backend: _backendserver.BackendServer,
         now: float,
         tokens: int,
         share: float,
@@ -119,7 +119,7 @@
         return not capacity or needed <= capacity * share
 
     def current_remote_load(
-        self, backend: _placed.BackendServer, now: float
+        self, backend: _backendserver.BackendServer, now: float
     ) -> messages.EngineLoad:
         """Return the load that other entries report, or none if outdated.
 
@@ -127,10 +127,10 @@
         seem full for good, and streams would wait beside idle engines.
         """
         is_current = now - self.last_report_at < LOAD_REPORT_TTL_S
-        return backend.remote_load if is_current else _placed.NO_LOAD
+        return backend.remote_load if is_current else _backendserver.NO_LOAD
 
     def may_hold_copy(
-        self, backend: _placed.BackendServer, since: float
+        self, backend: _backendserver.BackendServer, since: float
     ) -> bool:
         """Return whether a copy made at ``since`` can still exist."""
         return (
@@ -174,7 +174,9 @@
             for backend in self.services[engine.service]
         )
 
-    def _eject(self, backend: _placed.BackendServer, now: float) -> None:
+    def _eject(
+        self, backend: _backendserver.BackendServer, now: float
+    ) -> None:
         backend.lost_at = now
         backend.ejected_until = now + EJECTION_S
         location = (backend.service, backend.data_centre)
@@ -208,20 +210,22 @@
             backend.remote_requests_at = now
 
     def stream_started(
-        self, backend: _placed.BackendServer, tokens: int
+        self, backend: _backendserver.BackendServer, tokens: int
     ) -> None:
         """Count a stream sent to an engine, with its prompt yet to be read."""
         backend.inflight += 1
         backend.reading += tokens
         self.on_load_change()
 
-    def prompt_read(self, backend: _placed.BackendServer, tokens: int) -> None:
+    def prompt_read(
+        self, backend: _backendserver.BackendServer, tokens: int
+    ) -> None:
         """Count a stream's prompt as read."""
         backend.reading -= tokens
         self.on_load_change()
 
     def stream_ended(
-        self, backend: _placed.BackendServer, tokens: int
+        self, backend: _backendserver.BackendServer, tokens: int
     ) -> None:
         """Remove a stream from an engine, with its unread prompt tokens."""
         backend.inflight -= 1
@@ -254,12 +258,12 @@
             self.remote_loads = dict(summary.engines)
             for ident, backend in self.backends.items():
                 backend.remote_load = self.remote_loads.get(
-                    ident, _placed.NO_LOAD
+                    ident, _backendserver.NO_LOAD
                 )
             return
         self.remote_loads.update(summary.engines)
         for ident, load in summary.engines.items():
-            if load == _placed.NO_LOAD:
+            if load == _backendserver.NO_LOAD:
                 del self.remote_loads[ident]
             if ident in self.backends:
                 self.backends[ident].remote_load = load
@@ -307,27 +311,27 @@
         return ident if now - at < CACHED_PROMPT_TTL_S else ''
 
     def _sample_failure(
-        self, backend: _placed.BackendServer, sample: float, now: float
+        self, backend: _backendserver.BackendServer, sample: float, now: float
     ) -> None:
         old = backend.failures_now(now)
         backend.failures = old + FAILURE_SMOOTHING * (sample - old)
         backend.failed_at = now
 
     def memory_penalty(
-        self, backend: _placed.BackendServer, now: float, tokens: int
+        self, backend: _backendserver.BackendServer, now: float, tokens: int
     ) -> float:
         fits = self.has_room(backend, now, tokens, MAX_MEMORY_SHARE)
         return 0.0 if fits else FULL_PENALTY_PROMPTS
 
     def health_penalty(
-        self, backend: _placed.BackendServer, now: float
+        self, backend: _backendserver.BackendServer, now: float
     ) -> float:
         on_probation = now - backend.lost_at < PROBATION_S
         prompts = PROBATION_PENALTY_PROMPTS if on_probation else 0.0
         return prompts + self._data_centre_penalty(backend, now)
 
     def _data_centre_penalty(
-        self, backend: _placed.BackendServer, now: float
+        self, backend: _backendserver.BackendServer, now: float
     ) -> float:
         recent = self.data_centre_failures.get(
             (backend.service, backend.data_centre)
--- a/src/bulrushhold/decisions/_loadtotals.py
+++ b/src/bulrushhold/decisions/_loadtotals.py
@@ -3,7 +3,7 @@
 import collections.abc as cabc
 import typing as t
 
-from bulrushhold.decisions import _speeds
+from bulrushhold.decisions import _enginespeeds
 from bulrushhold import messages
 
 # Upper bound of recorded changes; older ones of removed engines are dropped.
@@ -131,5 +131,5 @@
 ) -> None:
     """Add speed samples by service to totals, or subtract them."""
     for service, speed in more.items():
-        known = totals.get(service, _speeds.NO_SAMPLES)
-        totals[service] = _speeds.add(known, speed, sign)
+        known = totals.get(service, _enginespeeds.NO_SAMPLES)
+        totals[service] = _enginespeeds.add(known, speed, sign)
--- a/src/bulrushhold/decisions/_placing.py
+++ b/src/bulrushhold/decisions/_placement.py
@@ -13,9 +13,9 @@
 import xxhash
 
 from bulrushhold.decisions import _admissioncontrol
-from bulrushhold.decisions import _known
-from bulrushhold.decisions import _placed
-from bulrushhold.decisions import _speeds
+from bulrushhold.decisions import _backendpool
+from bulrushhold.decisions import _backendserver
+from bulrushhold.decisions import _enginespeeds
 
 # A failed at-most-once request can't be retried, so a server's failure rate
 # weighs more for it than for an idempotent one.
@@ -67,7 +67,7 @@
     return -math.log1p(-draw)
 
 
-class Placement(_known.BackendPool):
+class Placement(_backendpool.BackendPool):
     """Load balancer over all known backend servers."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -76,7 +76,7 @@
 
     def choose(
         self, service: str, now: float, *, at_most_once: bool, tried: set[str]
-    ) -> _placed.BackendServer | None:
+    ) -> _backendserver.BackendServer | None:
         """Return the server with the shortest expected wait.
 
         :param at_most_once: the request can't be retried if it fails.
@@ -88,7 +88,7 @@
             else IDEMPOTENT_FAILURE_WEIGHT
         )
 
-        def wait(backend: _placed.BackendServer) -> float:
+        def wait(backend: _backendserver.BackendServer) -> float:
             load = backend.inflight + backend.remote_requests_now(now) + 1
             # Below half of its slots a server is about as fast as when idle.
             load = max(1.0, load / max(1.0, backend.slots * 0.5))
@@ -108,7 +108,7 @@
         part: str,
         tried: set[str],
         avoid_data_centre: str = '',
-    ) -> _placed.BackendServer | None:
+    ) -> _backendserver.BackendServer | None:
         """Return the engine expected to produce the first event soonest.
 
         All engines of a service are assumed to be equally fast, so that the
@@ -123,7 +123,7 @@
         ranks = self._affinity_ranks(service, part, tried)
         prompt = max(1, tokens)
 
-        def wait(backend: _placed.BackendServer) -> float:
+        def wait(backend: _backendserver.BackendServer) -> float:
             rank = ranks.get(backend.ident, AFFINITY_CANDIDATES)
             own_tokens = 0 if backend.ident == cached else tokens
             others = self.current_remote_load(backend, now)
@@ -137,7 +137,7 @@
                 now
             )
             if backend.data_centre == avoid_data_centre:
-                prompts += _known.DATA_CENTRE_PENALTY_PROMPTS
+                prompts += _backendpool.DATA_CENTRE_PENALTY_PROMPTS
             prompts += self.health_penalty(backend, now)
             return prompts + self.memory_penalty(backend, now, tokens)
 
@@ -146,13 +146,15 @@
         if best is None:
             return None
         idle = not best.reading + best.remote_load.reading
-        if idle and self.has_room(best, now, tokens, _known.MAX_MEMORY_SHARE):
+        if idle and self.has_room(
+            best, now, tokens, _backendpool.MAX_MEMORY_SHARE
+        ):
             return best
         # All preferred engines are reading or full: consider all others too.
         stale = self._is_load_stale(service, now)
         jitter_prompts = STALE_JITTER_PROMPTS if stale else JITTER_PROMPTS
 
-        def jittered_wait(backend: _placed.BackendServer) -> float:
+        def jittered_wait(backend: _backendserver.BackendServer) -> float:
             return wait(backend) + jitter_prompts * _exponential_jitter(
                 part, backend.ident
             )
@@ -161,7 +163,7 @@
 
     def likely_cache_holders(
         self, service: str, part: str, now: float
-    ) -> list[_placed.BackendServer]:
+    ) -> list[_backendserver.BackendServer]:
         """Return the engines that may have a part of a prompt cached.
 
         Empty if the engine is known, or if the part has no name.
@@ -186,13 +188,13 @@
 
     def choose_backup(
         self,
-        engine: _placed.BackendServer,
+        engine: _backendserver.BackendServer,
         now: float,
         tried: set[str],
         tokens: int,
         *,
         overloaded: bool = False,
-    ) -> _placed.BackendServer | None:
+    ) -> _backendserver.BackendServer | None:
         """Return the engine on which to keep a copy of a run's memory.
 
         Prefers other data centres, since engines of one tend to fail together,
@@ -201,7 +203,7 @@
         :param overloaded: streams wait for engines.
         """
 
-        def cost(backend: _placed.BackendServer) -> float:
+        def cost(backend: _backendserver.BackendServer) -> float:
             same_data_centre = backend.data_centre == engine.data_centre
             others = backend.remote_load
             load = backend.inflight + others.running
@@ -248,7 +250,7 @@
         service: str,
         now: float,
         *,
-        objective: _speeds.LatencyObjective,
+        objective: _enginespeeds.LatencyObjective,
         memory: int,
         excluding: str = '',
     ) -> _admissioncontrol.CapacityEstimate:
@@ -309,7 +311,8 @@
             return reads_per_s
         return min(
             reads_per_s,
-            max(1.0, _known.MAX_MEMORY_SHARE * capacity / memory) / run_s,
+            max(1.0, _backendpool.MAX_MEMORY_SHARE * capacity / memory)
+            / run_s,
         )
 
     def _best(
@@ -317,11 +320,11 @@
         service: str,
         now: float,
         tried: set[str],
-        cost: t.Callable[[_placed.BackendServer], float],
+        cost: t.Callable[[_backendserver.BackendServer], float],
         *,
         strict: bool = False,
         preferred: t.Container[str] = (),
-    ) -> _placed.BackendServer | None:
+    ) -> _backendserver.BackendServer | None:
         usable = self.usable(service)
         untried = [b for b in usable if b.ident not in tried]
         healthy = [b for b in untried if b.ejected_until <= now]
