--- a/src/bulrushhold/composition/_entry.py
+++ b/src/bulrushhold/composition/_entry.py
@@ -104,7 +104,7 @@
             lambda: self.streams.refuse_quarantined(self.table.quarantined)
         )
         self.table.changed.append(
-            lambda: runner.suspects.learn(self.table.suspects)
+            lambda: runner.suspects.add_reported(self.table.suspects)
         )
         services = entry.ServiceRunner(
             self.router,
--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -55,7 +55,7 @@
 from bulrushhold.decisions._stalltimeouts import StallTimeouts
 from bulrushhold.decisions._statemachine import ReplicatedState
 from bulrushhold.decisions._suspects import content_fingerprint
-from bulrushhold.decisions._suspects import Suspects
+from bulrushhold.decisions._suspects import EngineCrashTracker
 from bulrushhold.decisions._table import difference
 from bulrushhold.decisions._table import TableState
 from bulrushhold.decisions._tablecsv import read as read_csv
@@ -80,6 +80,7 @@
     'ControlServers',
     'CopyStore',
     'Durable',
+    'EngineCrashTracker',
     'EngineSpeeds',
     'FairQueue',
     'GapEstimate',
@@ -108,7 +109,6 @@
     'ServiceRetryBudget',
     'StallTimeouts',
     'Standing',
-    'Suspects',
     'TableState',
     'ThriftyPolicy',
     'Timing',
--- a/src/bulrushhold/decisions/_suspects.py
+++ b/src/bulrushhold/decisions/_suspects.py
@@ -16,7 +16,7 @@
 
 
 @attrs.define
-class Suspects:
+class EngineCrashTracker:
     """Counts engine crashes per request content.
 
     Every request that runs on a crashing engine becomes a suspect. Suspects
@@ -27,16 +27,16 @@
 
     crashes: dict[str, int] = attrs.field(factory=dict)
 
-    def is_suspect(self, fingerprint: str) -> bool:
+    def may_be_poison(self, fingerprint: str) -> bool:
         """Whether an engine crashed while running this content."""
         return fingerprint in self.crashes
 
-    def learn(self, fingerprints: cabc.Iterable[str]) -> None:
+    def add_reported(self, fingerprints: cabc.Iterable[str]) -> None:
         """Add suspects reported by other entries."""
         for fingerprint in fingerprints:
             self.crashes.setdefault(fingerprint, 1)
 
-    def engine_died(self, fingerprints: list[str]) -> list[str]:
+    def record_engine_crash(self, fingerprints: list[str]) -> list[str]:
         """Record a crash and return the fingerprints to quarantine.
 
         :param fingerprints: of all requests that ran on the engine.
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -50,7 +50,7 @@
         self.quarantine = quarantine
         self.metrics = metrics
         self.retries = decisions.AccountRetryBudget()
-        self.suspects = decisions.Suspects()
+        self.suspects = decisions.EngineCrashTracker()
         self.running: dict[
             str, list[tuple[_generation.Generation, _attempts.Attempt]]
         ] = {}
@@ -137,7 +137,7 @@
             time.monotonic(),
             version=transcript.version if transcript.tokens else '',
             avoid=generation.failed_engines | avoid,
-            suspect=self.suspects.is_suspect(spec.fingerprint),
+            suspect=self.suspects.may_be_poison(spec.fingerprint),
         )
         node.log_decision(
             'route',
@@ -171,7 +171,9 @@
         transcript = generation.transcript
         version = state.server.models[generation.spec.model]
         number = transcript.start_attempt(version)
-        poison_suspect = self.suspects.is_suspect(generation.spec.fingerprint)
+        poison_suspect = self.suspects.may_be_poison(
+            generation.spec.fingerprint
+        )
         attempt = _attempts.Attempt(
             number, state, time.monotonic(), poison_suspect=poison_suspect
         )
@@ -383,7 +385,7 @@
             suspects=len(set(contents)),
             reason='connection refused',
         )
-        quarantined = self.suspects.engine_died(contents)
+        quarantined = self.suspects.record_engine_crash(contents)
         for fingerprint in quarantined:
             self.quarantine.add(fingerprint, QUARANTINE_REASON)
         others = sorted(set(contents) - set(quarantined))
@@ -398,7 +400,7 @@
         Otherwise a poison request could crash a third engine before the
         second crash has been counted.
         """
-        if not self.suspects.is_suspect(generation.spec.fingerprint):
+        if not self.suspects.may_be_poison(generation.spec.fingerprint):
             return
         for name in generation.failed_engines & self.crash_probes.keys():
             probe = self.crash_probes.get(name)
