--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -61,8 +61,8 @@
 from bulrushhold.decisions._tablecsv import read as read_csv
 from bulrushhold.decisions._tablecsv import write as write_csv
 from bulrushhold.decisions._takeover import best_copy
-from bulrushhold.decisions._takeover import Standing
-from bulrushhold.decisions._takeover import standing
+from bulrushhold.decisions._takeover import PointerSummary
+from bulrushhold.decisions._takeover import summarize_pointers
 from bulrushhold.decisions._transcript import Transcript
 from bulrushhold.decisions._transcript import Verdict
 
@@ -92,6 +92,7 @@
     'Membership',
     'PauseSamples',
     'Placement',
+    'PointerSummary',
     'PoisonRequestDetector',
     'PromptPolicy',
     'PromptRead',
@@ -108,7 +109,6 @@
     'SMALL_ACCOUNT_ENTRIES',
     'ServiceRetryBudget',
     'StallTimeouts',
-    'Standing',
     'TableState',
     'ThriftyPolicy',
     'Timing',
@@ -129,7 +129,7 @@
     'ranked',
     'read_csv',
     'retry_after_s',
-    'standing',
+    'summarize_pointers',
     'with_learner',
     'write_csv',
 ]
--- a/src/bulrushhold/decisions/_takeover.py
+++ b/src/bulrushhold/decisions/_takeover.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen
-class Standing:
+class PointerSummary:
     """Combined answers of a key's pointer homes.
 
     :param majority: whether a majority of the homes answered.
@@ -34,9 +34,9 @@
     mismatch: bool
 
 
-def standing(
+def summarize_pointers(
     states: cabc.Collection[messages.PointerState], home_count: int
-) -> Standing:
+) -> PointerSummary:
     """Combine the answers of ``home_count`` pointer homes."""
     quorum = home_count // 2 + 1
     newest = max((state.since for state in states), default=0)
@@ -46,7 +46,7 @@
         if state.since == newest
         for address in state.former
     }
-    return Standing(
+    return PointerSummary(
         majority=len(states) >= quorum,
         sure=sum(state.sure for state in states) >= quorum,
         epoch=max((state.epoch for state in states), default=0),
--- a/src/bulrushhold/entry/_keys.py
+++ b/src/bulrushhold/entry/_keys.py
@@ -170,16 +170,16 @@
 
     async def _take_pointers(
         self, key: str, epoch: int, fingerprint: str, *, begins: bool = False
-    ) -> decisions.Standing:
+    ) -> decisions.PointerSummary:
         take = messages.PointerTake(
             key, epoch, fingerprint, self.copies(), begins
         )
         homes = decisions.homes(key, self.entries(), POINTER_HOMES)
         states = await self._request_all([home.peer for home in homes], take)
-        return decisions.standing(states, len(homes))
+        return decisions.summarize_pointers(states, len(homes))
 
     async def _take_copies(
-        self, key: str, epoch: int, pointers: decisions.Standing
+        self, key: str, epoch: int, pointers: decisions.PointerSummary
     ) -> messages.CopyState | None:
         states = await self._request_all(
             pointers.former, messages.CopyTake(key, epoch)
--- a/tests/test_takeover_orders.py
+++ b/tests/test_takeover_orders.py
@@ -129,7 +129,7 @@
             for n in self.reachable(name)
             if n in HOMES
         ]
-        return decisions.standing(states, len(HOMES))
+        return decisions.summarize_pointers(states, len(HOMES))
 
     def start_text(self, name, epoch):
         pointers = self.take_pointers(name, epoch, begins=True)
