--- a/src/bulrushhold/composition/_entry.py
+++ b/src/bulrushhold/composition/_entry.py
@@ -209,8 +209,8 @@
     from bulrushhold import decisions
 
     policies: dict[str, type[decisions.RecoveryPolicy]] = {
-        'thrifty': decisions.ThriftyPolicy,
-        'prompt': decisions.PromptPolicy,
+        'thrifty': decisions.SequentialPolicy,
+        'prompt': decisions.HedgingPolicy,
     }
     return policies[config.policy](
         config.gap_factor,
--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -38,9 +38,9 @@
 from bulrushhold.decisions._quota import RENEW_S as QUOTA_RENEW_S
 from bulrushhold.decisions._recovery import Action
 from bulrushhold.decisions._recovery import GapEstimate
-from bulrushhold.decisions._recovery import PromptPolicy
+from bulrushhold.decisions._recovery import HedgingPolicy
 from bulrushhold.decisions._recovery import RecoveryPolicy
-from bulrushhold.decisions._recovery import ThriftyPolicy
+from bulrushhold.decisions._recovery import SequentialPolicy
 from bulrushhold.decisions._recovery import WorkBudget
 from bulrushhold.decisions._replica import Replica
 from bulrushhold.decisions._roles import Durable
@@ -84,6 +84,7 @@
     'EngineSpeeds',
     'FairQueue',
     'GapEstimate',
+    'HedgingPolicy',
     'LatencyObjective',
     'Lifecycle',
     'LoadAggregator',
@@ -94,7 +95,6 @@
     'Placement',
     'PointerSummary',
     'PoisonRequestDetector',
-    'PromptPolicy',
     'PromptRead',
     'QUOTA_LEASE_S',
     'QUOTA_RENEW_S',
@@ -107,10 +107,10 @@
     'Role',
     'Router',
     'SMALL_ACCOUNT_ENTRIES',
+    'SequentialPolicy',
     'ServiceRetryBudget',
     'StallTimeouts',
     'TableState',
-    'ThriftyPolicy',
     'Timing',
     'Transcript',
     'Verdict',
--- a/src/bulrushhold/decisions/_recovery.py
+++ b/src/bulrushhold/decisions/_recovery.py
@@ -47,7 +47,7 @@
     """Reaction to a stalled attempt."""
 
     WAIT = 'wait'
-    RESERVE = 'reserve'
+    HEDGE = 'reserve'
     REPLACE = 'replace'
 
 
@@ -104,7 +104,7 @@
         self.first_token_s = first_token_s
         self.budget = budget
 
-    def loss_after(self, gaps: GapEstimate, *, started: bool) -> float:
+    def stall_timeout(self, gaps: GapEstimate, *, started: bool) -> float:
         """Return the stall timeout of an attempt, in seconds.
 
         :param started: whether the attempt has produced a token.
@@ -118,13 +118,13 @@
         """Return the idle time, in seconds, at which to decide next."""
 
     @abc.abstractmethod
-    def on_silence(
+    def on_stall(
         self,
         idle_s: float,
         gaps: GapEstimate,
         *,
         started: bool,
-        reserve: bool,
+        hedged: bool,
         cost: int,
     ) -> Action:
         """Decide about an attempt that has produced no token for a while.
@@ -135,30 +135,30 @@
         """
 
 
-class ThriftyPolicy(RecoveryPolicy):
+class SequentialPolicy(RecoveryPolicy):
     """Runs one attempt at a time and replaces it when it stalls."""
 
     def check_after(self, gaps: GapEstimate, *, started: bool) -> float:
         """Return the stall timeout."""
-        return self.loss_after(gaps, started=started)
+        return self.stall_timeout(gaps, started=started)
 
-    def on_silence(
+    def on_stall(
         self,
         idle_s: float,
         gaps: GapEstimate,
         *,
         started: bool,
-        reserve: bool,
+        hedged: bool,
         cost: int,
     ) -> Action:
         """Replace the attempt after the stall timeout."""
-        del reserve, cost
-        if idle_s >= self.loss_after(gaps, started=started):
+        del hedged, cost
+        if idle_s >= self.stall_timeout(gaps, started=started):
             return Action.REPLACE
         return Action.WAIT
 
 
-class PromptPolicy(RecoveryPolicy):
+class HedgingPolicy(RecoveryPolicy):
     """Starts a hedged attempt before the first one times out.
 
     The attempt that delivers the next token first is kept. Hedging stops
@@ -169,22 +169,22 @@
 
     def check_after(self, gaps: GapEstimate, *, started: bool) -> float:
         """Return the idle time after which a hedge is started."""
-        return self.HEDGE_FRACTION * self.loss_after(gaps, started=started)
+        return self.HEDGE_FRACTION * self.stall_timeout(gaps, started=started)
 
-    def on_silence(
+    def on_stall(
         self,
         idle_s: float,
         gaps: GapEstimate,
         *,
         started: bool,
-        reserve: bool,
+        hedged: bool,
         cost: int,
     ) -> Action:
         """Hedge within the budget; replace after the stall timeout."""
-        if idle_s >= self.loss_after(gaps, started=started):
+        if idle_s >= self.stall_timeout(gaps, started=started):
             return Action.REPLACE
         hedge_after = self.check_after(gaps, started=started)
-        if idle_s >= hedge_after and not reserve and self.budget.allows(cost):
+        if idle_s >= hedge_after and not hedged and self.budget.allows(cost):
             self.budget.spend(cost)
-            return Action.RESERVE
+            return Action.HEDGE
         return Action.WAIT
--- a/src/bulrushhold/entry/_attempts.py
+++ b/src/bulrushhold/entry/_attempts.py
@@ -81,5 +81,5 @@
     def _timeout(self, attempt: Attempt) -> float:
         gaps = attempt.state.gaps
         if self.loss_only:
-            return self.policy.loss_after(gaps, started=attempt.started)
+            return self.policy.stall_timeout(gaps, started=attempt.started)
         return self.policy.check_after(gaps, started=attempt.started)
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -434,11 +434,11 @@
         most_recent = max(live.values(), key=lambda a: a.last_event_at)
         spec = generation.spec
         cost = spec.prompt_tokens + len(generation.transcript.tokens)
-        action = self.policy.on_silence(
+        action = self.policy.on_stall(
             time.monotonic() - most_recent.last_event_at,
             most_recent.state.gaps,
             started=most_recent.started,
-            reserve=len(live) > 1,
+            hedged=len(live) > 1,
             cost=cost,
         )
         if action is decisions.Action.WAIT:
@@ -450,7 +450,7 @@
             action=action.value,
             silence_s=round(time.monotonic() - most_recent.last_event_at, 3),
         )
-        if action is decisions.Action.RESERVE:
+        if action is decisions.Action.HEDGE:
             in_use = frozenset(a.state.server.name for a in live.values())
             await self._start(generation, live, time.monotonic(), avoid=in_use)
             for attempt in live.values():
