--- a/src/bulrushhold/decisions/_lifecycle.py
+++ b/src/bulrushhold/decisions/_lifecycle.py
@@ -45,7 +45,7 @@
 
     state: str = 'accepted'
 
-    def move(self, name: str) -> None:
+    def trigger(self, name: str) -> None:
         """Fire a trigger of the state machine by its name."""
         _MACHINE.events[name].trigger(self)
 
--- a/src/bulrushhold/entry/_generation.py
+++ b/src/bulrushhold/entry/_generation.py
@@ -93,7 +93,7 @@
     def fence(self, peer: str) -> None:
         """Fail because another entry owns this key with a higher epoch."""
         if self.error is None and not self.lifecycle.ended:
-            self.lifecycle.move('fence')
+            self.lifecycle.trigger('fence')
             self.fail(
                 errors.RequestError(
                     'another entry has taken this request over',
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -63,19 +63,19 @@
         slot: _admission.Slot | None = None
         initial_length = len(generation.transcript.tokens)
         try:
-            generation.lifecycle.move('queue')
+            generation.lifecycle.trigger('queue')
             slot = await self.admission.enter(generation.spec.row)
             await self._run(generation, live)
         except errors.RequestError as error:
             if not generation.lifecycle.ended:
-                generation.lifecycle.move('refuse')
+                generation.lifecycle.trigger('refuse')
                 generation.fail(error)
         except Exception:
             # Without an error the caller would wait forever, since no task
             # runs this generation any more.
             loguru.logger.exception('generation failed')
             if not generation.lifecycle.ended:
-                generation.lifecycle.move('refuse')
+                generation.lifecycle.trigger('refuse')
                 generation.fail(
                     errors.RequestError(
                         'internal error',
@@ -105,7 +105,7 @@
                 continue
             self._stop_losers(generation, live)
             await self._wait_for_change(generation, live)
-        generation.lifecycle.move('finish')
+        generation.lifecycle.trigger('finish')
         self.suspects.clear(generation.spec.fingerprint)
 
     # Dispatch
@@ -184,7 +184,7 @@
             (generation, attempt)
         )
         if generation.lifecycle.state != 'streaming':
-            generation.lifecycle.move('dispatch')
+            generation.lifecycle.trigger('dispatch')
         self.retries.count(generation.spec.account, number)
         self.metrics.count('attempts')
         attempt.task = asyncio.get_running_loop().create_task(
@@ -277,7 +277,7 @@
         attempt.state.succeeded()
         self._apply_load_report(attempt.state)
         if generation.lifecycle.state in ('dispatched', 'recovering'):
-            generation.lifecycle.move('stream')
+            generation.lifecycle.trigger('stream')
         if generation.last_token_at:
             gap = time.monotonic() - generation.last_token_at
             self.metrics.time('resume', gap)
@@ -329,7 +329,7 @@
         if error.final and not generation.lifecycle.ended:
             # The request itself is invalid; any engine would refuse it.
             attempt.state.succeeded()
-            generation.lifecycle.move('refuse')
+            generation.lifecycle.trigger('refuse')
             generation.fail(
                 errors.RequestError(
                     error.reason,
@@ -485,7 +485,7 @@
         recovering = not live and not generation.transcript.finish
         if recovering and not generation.lifecycle.ended:
             if generation.lifecycle.state != 'recovering':
-                generation.lifecycle.move('lose')
+                generation.lifecycle.trigger('lose')
         self._stop_losers(generation, live)
 
     def _stop(
@@ -512,7 +512,7 @@
         state = generation.lifecycle.state
         if not live and state in ('dispatched', 'streaming'):
             if not generation.transcript.finish:
-                generation.lifecycle.move('lose')
+                generation.lifecycle.trigger('lose')
 
     def _log_loss(
         self,
--- a/src/bulrushhold/entry/_streams.py
+++ b/src/bulrushhold/entry/_streams.py
@@ -77,7 +77,7 @@
     def cancel(self, generation: _generation.Generation, reason: str) -> None:
         """Cancel a generation that has no readers."""
         if not generation.lifecycle.ended:
-            generation.lifecycle.move('cancel')
+            generation.lifecycle.trigger('cancel')
         generation.fail(
             errors.RequestError(
                 reason, 'cancel', ran=errors.Ran.YES, status=410
@@ -91,7 +91,7 @@
         for generation in self.generations.values():
             refused = generation.spec.fingerprint in quarantined
             if refused and not generation.lifecycle.ended:
-                generation.lifecycle.move('refuse')
+                generation.lifecycle.trigger('refuse')
                 generation.fail(
                     errors.RequestError(
                         _runner.QUARANTINE_REASON,
@@ -182,7 +182,7 @@
         self.generations[key] = generation
         self.copies.replicate(generation)
         if generation.transcript.finish:
-            generation.lifecycle.move('finish')
+            generation.lifecycle.trigger('finish')
             return generation
         generation.task = asyncio.get_running_loop().create_task(
             self.runner.run(generation)
