--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -158,7 +158,7 @@
     for count in (10, 30, 100, 390):
         entries = make_instances(count)
         costs[count] = cost_us(
-            lambda e=entries: decisions.homes('account/key', e, 3)
+            lambda e=entries: decisions.home_entries('account/key', e, 3)
         )
     print_costs('home entries of a key, by entries', costs, 'us per lookup')
 
--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -16,10 +16,10 @@
 from bulrushhold.decisions._enginespeeds import PromptRead
 from bulrushhold.decisions._fairqueue import FairQueue
 from bulrushhold.decisions._homes import copy_peers
-from bulrushhold.decisions._homes import entries_for
-from bulrushhold.decisions._homes import entries_wanted
-from bulrushhold.decisions._homes import homes
-from bulrushhold.decisions._homes import ranked
+from bulrushhold.decisions._homes import entries_for_account
+from bulrushhold.decisions._homes import entries_needed
+from bulrushhold.decisions._homes import home_entries
+from bulrushhold.decisions._homes import rendezvous_order
 from bulrushhold.decisions._homes import SMALL_ACCOUNT_ENTRIES
 from bulrushhold.decisions._lifecycle import Lifecycle
 from bulrushhold.decisions._loadaggregator import LoadAggregator
@@ -119,15 +119,15 @@
     'content_fingerprint',
     'copy_peers',
     'difference',
-    'entries_for',
-    'entries_wanted',
+    'entries_for_account',
+    'entries_needed',
     'fingerprint',
     'first_event_timeout_s',
-    'homes',
+    'home_entries',
     'new_identity',
     'next_config',
-    'ranked',
     'read_csv',
+    'rendezvous_order',
     'retry_after_s',
     'summarize_pointers',
     'with_learner',
--- a/src/bulrushhold/decisions/_homes.py
+++ b/src/bulrushhold/decisions/_homes.py
@@ -17,7 +17,7 @@
 _T = t.TypeVar('_T')
 
 
-def ranked(
+def rendezvous_order(
     key: str, candidates: cabc.Iterable[_T], name: cabc.Callable[[_T], str]
 ) -> list[_T]:
     """Return the candidates by descending rendezvous weight for a key."""
@@ -29,7 +29,7 @@
     )
 
 
-def homes(
+def home_entries(
     key: str, entries: cabc.Iterable[ports.Instance], count: int
 ) -> list[ports.Instance]:
     """Return the ``count`` home entries of a key, in distinct data centres.
@@ -37,7 +37,7 @@
     If there are fewer data centres than ``count``, the next-ranked entries
     fill the remainder.
     """
-    ranking = ranked(key, entries, lambda entry: entry.name)
+    ranking = rendezvous_order(key, entries, lambda entry: entry.name)
     return _spread_over_data_centres(ranking, count, set())
 
 
@@ -50,7 +50,9 @@
     can carry tokens of many streams.
     """
     others = [entry for entry in entries if entry.name != own.name]
-    ranking = ranked(f'copies of {own.name}', others, lambda e: e.name)
+    ranking = rendezvous_order(
+        f'copies of {own.name}', others, lambda e: e.name
+    )
     return _spread_over_data_centres(ranking, count, {own.data_centre})
 
 
@@ -67,7 +69,7 @@
     return chosen + rest[: max(0, count - len(chosen))]
 
 
-def entries_wanted(share: float, entries: int) -> int:
+def entries_needed(share: float, entries: int) -> int:
     """Return over how many entries an account's requests are spread.
 
     Returns 1 for a small account, whose callers all prefer the same entry.
@@ -78,7 +80,7 @@
     return count if count > SMALL_ACCOUNT_ENTRIES else 1
 
 
-def entries_for(
+def entries_for_account(
     account: str,
     share: float,
     entries: list[ports.Instance],
@@ -92,8 +94,10 @@
     :param share: the account's share of the total weight, 0 to 1.
     :param near: the caller's data centre, whose entries come first.
     """
-    count = max(SMALL_ACCOUNT_ENTRIES, entries_wanted(share, len(entries)))
-    ranking = ranked(f'entries of {account}', entries, lambda e: e.name)
+    count = max(SMALL_ACCOUNT_ENTRIES, entries_needed(share, len(entries)))
+    ranking = rendezvous_order(
+        f'entries of {account}', entries, lambda e: e.name
+    )
     chosen = _spread_over_data_centres(
         ranking, min(count, len(entries)), set()
     )
--- a/src/bulrushhold/decisions/_routing.py
+++ b/src/bulrushhold/decisions/_routing.py
@@ -254,7 +254,9 @@
             engines = [
                 s for s in self.states.values() if s.server.kind == 'engine'
             ]
-            ranking = _homes.ranked(key, engines, lambda s: s.server.name)
+            ranking = _homes.rendezvous_order(
+                key, engines, lambda s: s.server.name
+            )
             self.rankings[key] = ranking
         share = self._count_and_share(key)
         return ranking, MIN_CANDIDATES + math.ceil(share * len(ranking))
--- a/src/bulrushhold/entry/_admission.py
+++ b/src/bulrushhold/entry/_admission.py
@@ -226,7 +226,7 @@
         for share in self.shares.values():
             if share.running or share.waiting:
                 account_share = weights.get(share.row.account, 0.0) / total
-                entry_count = decisions.entries_wanted(
+                entry_count = decisions.entries_needed(
                     account_share, self.places.entries
                 )
                 weight += share.row.weight / entry_count
@@ -294,7 +294,7 @@
         if not share.limited:
             return
         entries = self.entries()
-        homes = decisions.homes(f'quota {share.row.key}', entries, 1)
+        homes = decisions.home_entries(f'quota {share.row.key}', entries, 1)
         if not homes:
             return
         want = max(1.0, float(share.running + share.waiting))
--- a/src/bulrushhold/entry/_keys.py
+++ b/src/bulrushhold/entry/_keys.py
@@ -162,7 +162,7 @@
         take = messages.PointerTake(
             key, epoch, fingerprint, self.copies(), since=since
         )
-        for home in decisions.homes(key, self.entries(), POINTER_HOMES):
+        for home in decisions.home_entries(key, self.entries(), POINTER_HOMES):
             if home.peer == self.own_address:
                 self.store.take_pointer(take, time.monotonic())
             else:
@@ -174,7 +174,7 @@
         take = messages.PointerTake(
             key, epoch, fingerprint, self.copies(), begins
         )
-        homes = decisions.homes(key, self.entries(), POINTER_HOMES)
+        homes = decisions.home_entries(key, self.entries(), POINTER_HOMES)
         states = await self._request_all([home.peer for home in homes], take)
         return decisions.summarize_pointers(states, len(homes))
 
--- a/src/bulrushhold/entry/_server.py
+++ b/src/bulrushhold/entry/_server.py
@@ -322,7 +322,7 @@
         data_centre = request.query.get('data_centre', '')
         weights = self.table.accounts
         share = weights.get(account, 0.0) / (sum(weights.values()) or 1.0)
-        chosen = decisions.entries_for(
+        chosen = decisions.entries_for_account(
             account, share, self.view.listed(), data_centre
         )
         if len(chosen) > decisions.SMALL_ACCOUNT_ENTRIES:
