--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -28,7 +28,9 @@
 from bulrushhold.decisions._members import with_learner
 from bulrushhold.decisions._membership import Membership
 from bulrushhold.decisions._membership import PERIOD_S as MEMBERSHIP_PERIOD_S
-from bulrushhold.decisions._membership import PROBE_S as MEMBERSHIP_PROBE_S
+from bulrushhold.decisions._membership import (
+    PROBE_S as MEMBERSHIP_PROBE_TIMEOUT_S,
+)
 from bulrushhold.decisions._placement import Placement
 from bulrushhold.decisions._poisonrequests import fingerprint
 from bulrushhold.decisions._poisonrequests import PoisonRequestDetector
@@ -89,7 +91,7 @@
     'Lifecycle',
     'LoadAggregator',
     'MEMBERSHIP_PERIOD_S',
-    'MEMBERSHIP_PROBE_S',
+    'MEMBERSHIP_PROBE_TIMEOUT_S',
     'Membership',
     'PauseSamples',
     'Placement',
--- a/src/bulrushhold/decisions/_membership.py
+++ b/src/bulrushhold/decisions/_membership.py
@@ -77,7 +77,7 @@
         self.probe_order: list[str] = []
         self.update_queue: dict[str, _QueuedUpdate] = {}
 
-    def update_list(self, entries: cabc.Iterable[ports.Instance]) -> None:
+    def update_instances(self, entries: cabc.Iterable[ports.Instance]) -> None:
         """Add and remove members according to the platform's list."""
         listed = {e.name: e for e in entries if e.name != self.name}
         for name in self.members.keys() - listed.keys():
@@ -135,7 +135,7 @@
                 name, member, member.incarnation, Status.ALIVE, now
             )
 
-    def silent(self, name: str, now: float) -> None:
+    def unanswered(self, name: str, now: float) -> None:
         """Record that an entry answered no direct or indirect probe."""
         member = self.members.get(name)
         if member is not None and member.status is Status.ALIVE:
@@ -154,7 +154,7 @@
                     name, member, member.incarnation, Status.DEAD, now
                 )
 
-    def hear(
+    def apply_updates(
         self, updates: cabc.Iterable[messages.MemberNews], now: float
     ) -> None:
         """Apply updates: the higher incarnation wins, then the severity."""
@@ -175,7 +175,7 @@
                     item.name, member, item.incarnation, status, now
                 )
 
-    def tell(self) -> list[messages.MemberNews]:
+    def take_updates(self) -> list[messages.MemberNews]:
         """Return the updates for one message, this entry's status first."""
         outgoing = [self._own_update()]
         queued = sorted(
@@ -190,7 +190,7 @@
                 del self.update_queue[name]
         return outgoing
 
-    def leave(self) -> messages.MemberNews:
+    def start_leaving(self) -> messages.MemberNews:
         """Mark this entry as leaving and return the update to send."""
         self.incarnation += 1
         self.status = Status.LEAVING
--- a/src/bulrushhold/entry/_members.py
+++ b/src/bulrushhold/entry/_members.py
@@ -12,7 +12,7 @@
 from bulrushhold import ports
 
 PERIOD_S: t.Final = decisions.MEMBERSHIP_PERIOD_S
-PROBE_TIMEOUT_S: t.Final = decisions.MEMBERSHIP_PROBE_S
+PROBE_TIMEOUT_S: t.Final = decisions.MEMBERSHIP_PROBE_TIMEOUT_S
 
 
 class Prober:
@@ -48,7 +48,7 @@
         Sent directly, since gossip on probes takes several periods to
         reach all entries.
         """
-        news = self.membership.leave()
+        news = self.membership.start_leaving()
         for member in self.membership.members.values():
             self.transport.send(member.instance.peer, news)
 
@@ -57,14 +57,16 @@
             self.membership.answered(target.name, self.clock())
             return
         helpers = self.membership.helpers(target.name)
-        request = messages.ProbeFor(target.peer, self.membership.tell())
+        request = messages.ProbeFor(
+            target.peer, self.membership.take_updates()
+        )
         answers = await asyncio.gather(
             *(self._probe_through(helper, request) for helper in helpers)
         )
         if any(answers):
             return
         was_usable = self.membership.usable(target.name)
-        self.membership.silent(target.name, self.clock())
+        self.membership.unanswered(target.name, self.clock())
         if was_usable:
             node.log_decision(
                 'member silent',
@@ -74,12 +76,12 @@
             )
 
     async def _send_probe(self, address: str, timeout: float) -> bool:
-        probe = messages.Probe(self.membership.tell())
+        probe = messages.Probe(self.membership.take_updates())
         try:
             reply = await self.transport.request(address, probe, timeout)
         except errors.PeerError:
             return False
-        self.membership.hear(reply.news, self.clock())
+        self.membership.apply_updates(reply.news, self.clock())
         return True
 
     async def _probe_through(
@@ -94,15 +96,15 @@
         return reply.answered
 
     async def _on_probe(self, probe: messages.Probe) -> messages.ProbeReply:
-        self.membership.hear(probe.news, self.clock())
-        return messages.ProbeReply(True, self.membership.tell())
+        self.membership.apply_updates(probe.news, self.clock())
+        return messages.ProbeReply(True, self.membership.take_updates())
 
     async def _on_probe_for(
         self, request: messages.ProbeFor
     ) -> messages.ProbeReply:
-        self.membership.hear(request.news, self.clock())
+        self.membership.apply_updates(request.news, self.clock())
         answered = await self._send_probe(request.target, PROBE_TIMEOUT_S)
-        return messages.ProbeReply(answered, self.membership.tell())
+        return messages.ProbeReply(answered, self.membership.take_updates())
 
     async def _on_news(self, news: messages.MemberNews) -> None:
-        self.membership.hear([news], self.clock())
+        self.membership.apply_updates([news], self.clock())
--- a/src/bulrushhold/entry/_view.py
+++ b/src/bulrushhold/entry/_view.py
@@ -95,6 +95,6 @@
         if platform is None:
             return
         self.entries = platform.entries
-        self.membership.update_list(platform.entries)
+        self.membership.update_instances(platform.entries)
         self.router.update(platform.backend_servers)
         self.changed.set()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -29,7 +29,7 @@
 
     def start(self, name, incarnation, rng):
         member = decisions.Membership(name, incarnation, rng)
-        member.update_list(self.instances)
+        member.update_instances(self.instances)
         self.members[name] = member
 
     def can_reach(self, one, other):
@@ -41,16 +41,16 @@
 
     def probe(self, one, other):
         """Exchange a probe and its reply; return whether both arrived."""
-        updates = self.members[one].tell()
+        updates = self.members[one].take_updates()
         self.count(one, messages.Probe(updates))
         if not self.can_reach(one, other):
             return False
-        self.members[other].hear(updates, self.now)
-        answer = self.members[other].tell()
+        self.members[other].apply_updates(updates, self.now)
+        answer = self.members[other].take_updates()
         self.count(other, messages.ProbeReply(True, answer))
         if not self.can_reach(other, one):
             return False
-        self.members[one].hear(answer, self.now)
+        self.members[one].apply_updates(answer, self.now)
         return True
 
     def count(self, name, message):
@@ -70,7 +70,7 @@
                 and self.probe(helper.name, target.name)
                 for helper in member.helpers(target.name)
             ):
-                member.silent(target.name, self.now)
+                member.unanswered(target.name, self.now)
             member.tick(self.now)
 
     def usable_by(self, name):
