--- a/src/bulrushhold/control/_server.py
+++ b/src/bulrushhold/control/_server.py
@@ -112,7 +112,9 @@
 
     def _seconds_to_wakeup(self) -> float:
         now = self.clock()
-        delay_s = min(self.replica.wake_in(now), self.next_join - now)
+        delay_s = min(
+            self.replica.seconds_until_tick(now), self.next_join - now
+        )
         return max(MIN_WAIT_S, delay_s)
 
     def process_ready(self) -> None:
@@ -125,7 +127,7 @@
             elif ready.must_save:
                 last = self.replica.last_index
                 self.store.save(ready.term, ready.vote, ready.entries)
-                self.replica.saved_up_to(last)
+                self.replica.mark_saved(last)
             for peer, message in ready.outbox:
                 self._send(peer, message)
             for entry in ready.committed:
@@ -141,7 +143,7 @@
         assert snapshot is not None
         self.store.save(ready.term, ready.vote, [])
         self.store.save_snapshot(snapshot, ready.entries)
-        self.replica.saved_up_to(self.replica.last_index)
+        self.replica.mark_saved(self.replica.last_index)
         self.state = decisions.ReplicatedState.restore(snapshot.state)
         self.entries_since_snapshot = 0
 
@@ -198,7 +200,7 @@
             self._expire_claims(now)
         elif (
             self.replica.ident not in self.replica.config.voters
-            or self.replica.silent_for(now) > REJOIN_AFTER_S
+            or self.replica.seconds_since_leader(now) > REJOIN_AFTER_S
         ):
             self._request_join()
 
@@ -422,7 +424,7 @@
 
 def open_replica(
     config: settings.Control, store: node.FileLog
-) -> tuple[decisions.Durable, str]:
+) -> tuple[decisions.PersistedState, str]:
     """Read the data folder; assign a new identity if it is empty.
 
     :returns: the durable state and the replica's identity.
--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -45,7 +45,7 @@
 from bulrushhold.decisions._recovery import SequentialPolicy
 from bulrushhold.decisions._recovery import WorkBudget
 from bulrushhold.decisions._replica import Replica
-from bulrushhold.decisions._roles import Durable
+from bulrushhold.decisions._roles import PersistedState
 from bulrushhold.decisions._roles import Ready
 from bulrushhold.decisions._roles import Role
 from bulrushhold.decisions._roles import Timing
@@ -81,7 +81,6 @@
     'ClaimState',
     'ControlServers',
     'CopyStore',
-    'Durable',
     'EngineCrashTracker',
     'EngineSpeeds',
     'FairQueue',
@@ -94,6 +93,7 @@
     'MEMBERSHIP_PROBE_TIMEOUT_S',
     'Membership',
     'PauseSamples',
+    'PersistedState',
     'Placement',
     'PointerSummary',
     'PoisonRequestDetector',
--- a/src/bulrushhold/decisions/_replica.py
+++ b/src/bulrushhold/decisions/_replica.py
@@ -35,7 +35,7 @@
     def __init__(
         self,
         ident: str,
-        durable: _roles.Durable,
+        durable: _roles.PersistedState,
         timing: _roles.Timing,
         rng: random.Random,
         now: float,
@@ -80,7 +80,7 @@
         return self.log.config
 
     @property
-    def commits_in_term(self) -> bool:
+    def committed_in_term(self) -> bool:
         """Whether this leader has committed an entry of its own term."""
         return (
             self.role is _roles.Role.LEADER
@@ -94,9 +94,9 @@
         that was suspended in between could act on an expired lease.
         """
         lease_end = self._quorum_acked_at() + self.timing.lease_s
-        return self.commits_in_term and now < lease_end
+        return self.committed_in_term and now < lease_end
 
-    def silent_for(self, now: float) -> float:
+    def seconds_since_leader(self, now: float) -> float:
         """Return seconds since the last contact with a leader; 0 as leader."""
         return (
             0.0
@@ -125,7 +125,7 @@
         the current term is committed. Otherwise two disjoint majorities
         could form.
         """
-        if not self.commits_in_term or self.log.config_index > self.commit:
+        if not self.committed_in_term or self.log.config_index > self.commit:
             return False
         self._append(messages.KIND_CONFIG, msgspec.msgpack.encode(config))
         return True
@@ -143,7 +143,7 @@
             else:
                 self._reset_election(now)
 
-    def wake_in(self, now: float) -> float:
+    def seconds_until_tick(self, now: float) -> float:
         """Return seconds until the next timer that :meth:`tick` handles."""
         is_leader = self.role is _roles.Role.LEADER
         return (
@@ -188,7 +188,7 @@
         self._ready = _roles.Ready(term=self.term, vote=self.vote)
         return ready
 
-    def saved_up_to(self, index: int) -> None:
+    def mark_saved(self, index: int) -> None:
         """Record that all entries up to ``index`` are synced to disk."""
         self.saved = min(index, self.last_index)
         if self.role is _roles.Role.LEADER:
--- a/src/bulrushhold/decisions/_roles.py
+++ b/src/bulrushhold/decisions/_roles.py
@@ -36,7 +36,7 @@
 
 
 @attrs.define
-class Durable:
+class PersistedState:
     """Persisted state of a replica.
 
     :param founding: initial configuration, used until there is a snapshot.
--- a/src/bulrushhold/node/_filelog.py
+++ b/src/bulrushhold/node/_filelog.py
@@ -88,12 +88,12 @@
         payload = msgspec.msgpack.encode(identity)
         self._replace(self.identity_path, _encode_record(payload))
 
-    def load(self, founding: messages.Config) -> decisions.Durable:
+    def load(self, founding: messages.Config) -> decisions.PersistedState:
         """Read snapshot and log; truncate an incomplete last record.
 
         :raises StorageError: for any other damage, with file and offset.
         """
-        durable = decisions.Durable(founding=founding)
+        durable = decisions.PersistedState(founding=founding)
         snapshot = self._read(self.snapshot_path)
         if snapshot is not None:
             durable.snapshot = self._load_snapshot(snapshot)
@@ -160,7 +160,9 @@
         except (msgspec.DecodeError, IndexError) as error:
             raise self._error('damaged', self.snapshot_path) from error
 
-    def _replay(self, record: _Record, durable: decisions.Durable) -> None:
+    def _replay(
+        self, record: _Record, durable: decisions.PersistedState
+    ) -> None:
         durable.term, durable.vote = record.term, record.vote
         snapshot_index = durable.snapshot.index if durable.snapshot else 0
         for entry in record.entries:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -34,7 +34,7 @@
     def start(self, ident, founding):
         self.replicas[ident] = decisions.Replica(
             ident,
-            decisions.Durable(founding=founding),
+            decisions.PersistedState(founding=founding),
             TIMING,
             random.Random(len(self.replicas)),
             self.now,
@@ -46,7 +46,7 @@
             for ident, replica in list(self.replicas.items()):
                 ready = replica.take_ready()
                 if ready.must_save:
-                    replica.saved_up_to(replica.last_index)
+                    replica.mark_saved(replica.last_index)
                     idle = False
                 for peer, message in ready.outbox:
                     idle = False
@@ -189,7 +189,7 @@
     assert suspended not in network.leader().config.voters
     network.isolated.clear()
     network.run(1.0)
-    assert network.replicas[suspended].silent_for(network.now) > 2.0
+    assert network.replicas[suspended].seconds_since_leader(network.now) > 2.0
     network.repair(suspended, 2.0)
     assert suspended in network.leader().config.learners
 
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -63,7 +63,7 @@
 
     def start(self, name, founding=None):
         disk = self.disks[name]
-        durable = decisions.Durable(
+        durable = decisions.PersistedState(
             disk.term,
             '' if self.bug == 'vote not synced' else disk.vote,
             list(disk.entries),
@@ -95,7 +95,7 @@
                     self.disks[name] = Disk(snapshot=ready.snapshot)
                     self.applied[name] = ready.snapshot.index
                 self.disks[name].save(ready)
-                replica.saved_up_to(last)
+                replica.mark_saved(last)
             for peer, message in ready.outbox:
                 self.network.append((name, peer, message))
             for entry in ready.committed:
