--- a/src/bulrushhold/decisions/_controlservers.py
+++ b/src/bulrushhold/decisions/_controlservers.py
@@ -35,20 +35,20 @@
         self.leader = ''
         self.failed_at: dict[str, float] = {}
 
-    def learn(self, reply: messages.WatchReply) -> None:
+    def update(self, reply: messages.WatchReply) -> None:
         """Update the known control processes from a watch reply."""
         if reply.core:
             self.core = reply.core
         if reply.nodes is not None:
             self.nodes = reply.nodes
 
-    def failed(self, address: str, now: float) -> None:
+    def mark_failed(self, address: str, now: float) -> None:
         """Record that a control process didn't answer."""
         self.failed_at[address] = now
 
-    def not_in_touch(self, address: str, leader: str, now: float) -> None:
+    def mark_leaderless(self, address: str, leader: str, now: float) -> None:
         """Record that a control process has no contact with the leader."""
-        self.failed(address, now)
+        self.mark_failed(address, now)
         self.leader = '' if leader == address else leader
 
     def choose(self, current: str, now: float) -> str:
--- a/src/bulrushhold/forwarding/_fleet.py
+++ b/src/bulrushhold/forwarding/_fleet.py
@@ -119,7 +119,7 @@
                     loguru.logger.bind(peer=address, error=str(error)).warning(
                         'control lost'
                     )
-                self.servers.failed(address, time.monotonic())
+                self.servers.mark_failed(address, time.monotonic())
             if not answered:
                 self.server = ''
                 await asyncio.sleep(RETRY_PAUSE_S)
@@ -135,10 +135,12 @@
         reply = await self.transport.request(
             address, self._poll_request(), LONG_POLL_S + REPLY_MARGIN_S
         )
-        self.servers.learn(reply)
+        self.servers.update(reply)
         self._apply_loads(reply.loads, address)
         if reply.status != 'done':
-            self.servers.not_in_touch(address, reply.leader, time.monotonic())
+            self.servers.mark_leaderless(
+                address, reply.leader, time.monotonic()
+            )
             return False
         if self.server != address:
             self.server = address
