--- a/bench/routing.py
+++ b/bench/routing.py
@@ -183,11 +183,11 @@
     def choose(entry: int, prefix: str, now: float) -> str:
         choice = routers[entry].choose_engine('s', prefix, now)
         assert choice.state is not None
-        choice.state.own += 1
+        choice.state.own_requests += 1
         return choice.chosen
 
     def done(entry: int, name: str) -> None:
-        routers[entry].states[name].own -= 1
+        routers[entry].states[name].own_requests -= 1
 
     def report(loads: dict[str, int], now: float) -> None:
         for router in routers:
--- a/src/bulrushhold/decisions/_routing.py
+++ b/src/bulrushhold/decisions/_routing.py
@@ -50,12 +50,12 @@
     """
 
     server: ports.BackendServer
-    own: int = 0
+    own_requests: int = 0
     running: int = 0
     reported_at: float = -1e9
     own_at_report: int = 0
     failures: int = 0
-    closed_until: float = 0.0
+    backoff_until: float = 0.0
     listed: bool = True
     draining_until: float = 0.0
     suspects: int = 0
@@ -74,7 +74,7 @@
         age = max(0.0, now - self.reported_at)
         report_weight = 0.5 ** (age / REPORT_HALF_LIFE_S)
         return (
-            self.own
+            self.own_requests
             + mean_other_load
             + (others - mean_other_load) * report_weight
         )
@@ -84,7 +84,7 @@
         return (
             self.listed
             and not self.server.leaving
-            and now >= self.closed_until
+            and now >= self.backoff_until
             and now >= self.draining_until
         )
 
@@ -92,18 +92,18 @@
         """Record a load report."""
         self.running = running
         self.reported_at = now
-        self.own_at_report = self.own
+        self.own_at_report = self.own_requests
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Record a failure and back off exponentially."""
         self.failures += 1
         backoff = INITIAL_BACKOFF_S * 2 ** (self.failures - 1)
-        self.closed_until = now + min(MAX_BACKOFF_S, backoff)
+        self.backoff_until = now + min(MAX_BACKOFF_S, backoff)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a success and reset the backoff."""
         self.failures = 0
-        self.closed_until = 0.0
+        self.backoff_until = 0.0
 
 
 @attrs.frozen
@@ -143,7 +143,7 @@
         for name, state in list(self.states.items()):
             if name not in listed:
                 state.listed = False
-                if state.own == 0:
+                if state.own_requests == 0:
                     del self.states[name]
         for name, server in listed.items():
             state = self.states.get(name)
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -178,7 +178,7 @@
             number, state, time.monotonic(), poison_suspect=poison_suspect
         )
         live[number] = attempt
-        state.own += 1
+        state.own_requests += 1
         state.suspects += poison_suspect
         self.running.setdefault(state.server.name, []).append(
             (generation, attempt)
@@ -274,7 +274,7 @@
     ) -> None:
         attempt.started = True
         self.policy.budget.refund(attempt.hedge_tokens)
-        attempt.state.succeeded()
+        attempt.state.record_success()
         self._apply_load_report(attempt.state)
         if generation.lifecycle.state in ('dispatched', 'recovering'):
             generation.lifecycle.trigger('stream')
@@ -310,7 +310,7 @@
         self, generation: _generation.Generation, attempt: _attempts.Attempt
     ) -> None:
         state = attempt.state
-        state.own -= 1
+        state.own_requests -= 1
         state.suspects -= attempt.poison_suspect
         affected = self.running.get(state.server.name, [])
         with contextlib.suppress(ValueError):
@@ -324,11 +324,11 @@
         attempt: _attempts.Attempt,
         error: errors.EngineRefusedError,
     ) -> None:
-        attempt.state.failed(time.monotonic())
+        attempt.state.record_failure(time.monotonic())
         generation.failed_engines.add(attempt.state.server.name)
         if error.final and not generation.lifecycle.ended:
             # The request itself is invalid; any engine would refuse it.
-            attempt.state.succeeded()
+            attempt.state.record_success()
             generation.lifecycle.trigger('refuse')
             generation.fail(
                 errors.RequestError(
@@ -344,7 +344,7 @@
         self, generation: _generation.Generation, attempt: _attempts.Attempt
     ) -> None:
         state = attempt.state
-        state.failed(time.monotonic())
+        state.record_failure(time.monotonic())
         generation.failed_engines.add(state.server.name)
         self.metrics.count('engines.lost')
         name = state.server.name
@@ -458,7 +458,7 @@
                     attempt.hedge_tokens = cost
             return
         for attempt in list(live.values()):
-            attempt.state.failed(time.monotonic())
+            attempt.state.record_failure(time.monotonic())
             generation.failed_engines.add(attempt.state.server.name)
             self._stop(generation, attempt, live)
 
--- a/src/bulrushhold/entry/_server.py
+++ b/src/bulrushhold/entry/_server.py
@@ -350,9 +350,9 @@
             {
                 'name': state.server.name,
                 'kind': state.server.kind,
-                'own': state.own,
+                'own': state.own_requests,
                 'leaving': state.server.leaving,
-                'open': time.monotonic() >= state.closed_until,
+                'open': time.monotonic() >= state.backoff_until,
             }
             for state in self.view.router.states.values()
         ]
--- a/src/bulrushhold/entry/_services.py
+++ b/src/bulrushhold/entry/_services.py
@@ -247,18 +247,18 @@
     async def _call(
         self, state: decisions.BackendState, call: ports.ServiceCall
     ) -> ports.ServiceAnswer:
-        state.own += 1
+        state.own_requests += 1
         started = time.monotonic()
         try:
             answer = await self.services.call(state.server.address, call)
         except errors.BackendError:
-            state.failed(time.monotonic())
+            state.record_failure(time.monotonic())
             self.metrics.count('services.failed')
             raise
         finally:
-            state.own -= 1
+            state.own_requests -= 1
             self.metrics.time('services', time.monotonic() - started)
-        state.succeeded()
+        state.record_success()
         return answer
 
     def _no_server(self, service: str) -> errors.RequestError:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -298,10 +298,10 @@
     chosen = []
     for number in range(40):
         choice = router.choose_engine('s', f'prompt {number}', 1.0)
-        choice.state.own += 1
+        choice.state.own_requests += 1
         chosen.append(choice.chosen)
     assert chosen.count('m0') <= 15
-    loads = [s.own for s in router.states.values()]
+    loads = [s.own_requests for s in router.states.values()]
     assert max(loads) <= 15
 
 
@@ -323,16 +323,16 @@
     router.update(servers(40))
     for number in range(400):
         affinity = 'hot' if number % 2 else f'other {number}'
-        router.choose_engine('s', affinity, 1.0).state.own += 1
-    assert max(s.own for s in router.states.values()) <= 20
+        router.choose_engine('s', affinity, 1.0).state.own_requests += 1
+    assert max(s.own_requests for s in router.states.values()) <= 20
 
 
 def test_failing_server_is_retried_after_a_backoff():
     router = decisions.Router(random.Random(7))
     router.update(servers(2))
     state = router.states['m0']
-    state.failed(10.0)
-    state.failed(10.0)
+    state.record_failure(10.0)
+    state.record_failure(10.0)
     names = {router.choose_engine('s', str(n), 10.9).chosen for n in range(20)}
     assert names == {'m1'}
     assert 'm0' in {
