--- a/src/bulrushhold/decisions/_quota.py
+++ b/src/bulrushhold/decisions/_quota.py
@@ -88,7 +88,7 @@
         for name in [n for n, h in holders.items() if now >= h.expires_at]:
             del holders[name]
 
-    def forget(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop expired leases and the rows without any."""
         for key, holders in list(self.rows.items()):
             self._expire(holders, now)
@@ -120,19 +120,19 @@
     entries: int
     rate: float = 0.0
     slots: int = 0
-    granted_from: float = -1e9
+    lease_start: float = -1e9
     running: int = 0
     waiting: int = 0
     tokens: float = 0.0
-    filled_at: float = 0.0
+    refilled_at: float = 0.0
     used_at: float = 0.0
 
-    def take_grant(self, grant: messages.QuotaGrant, sent: float) -> None:
+    def apply_grant(self, grant: messages.QuotaGrant, sent: float) -> None:
         """Apply a lease that was requested at ``sent``."""
         self._refill(sent)
         self.rate = grant.rate
         self.slots = grant.slots
-        self.granted_from = sent
+        self.lease_start = sent
 
     def allows(self, now: float) -> bool:
         """Whether another request may start now."""
@@ -172,7 +172,7 @@
         """Return the concurrent requests allowed now."""
         return self._slot_limit(now)
 
-    def leased(self, now: float) -> bool:
+    def has_leased_slots(self, now: float) -> bool:
         """Whether an unexpired lease with slots is held."""
         return self.slots > 0 and self._lease_active(now)
 
@@ -187,7 +187,7 @@
         return bool(self.row.concurrency or self.row.token_rate)
 
     def _lease_active(self, now: float) -> bool:
-        return now < self.granted_from + LEASE_S
+        return now < self.lease_start + LEASE_S
 
     def _rate_limit(self, now: float) -> float:
         floor = self.row.token_rate * FLOOR_SHARE / max(1, self.entries)
@@ -198,9 +198,9 @@
         return floor + (self.slots if self._lease_active(now) else 0)
 
     def _refill(self, now: float) -> None:
-        if now <= self.filled_at:
+        if now <= self.refilled_at:
             return
         rate = self._rate_limit(now)
-        refill = rate * min(now - self.filled_at, BURST_S)
+        refill = rate * min(now - self.refilled_at, BURST_S)
         self.tokens = min(self.tokens + refill, max(1.0, rate * BURST_S))
-        self.filled_at = now
+        self.refilled_at = now
--- a/src/bulrushhold/entry/_admission.py
+++ b/src/bulrushhold/entry/_admission.py
@@ -111,7 +111,7 @@
             True,
             asyncio.get_running_loop().create_future(),
         )
-        if not self.places.leased(self.clock()):
+        if not self.places.has_leased_slots(self.clock()):
             self._request_lease(self.places)
         self.queue.push(row.key, row.weight, expected, slot)
         share.waiting += 1
@@ -161,7 +161,7 @@
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             now = self.clock()
-            self.home.forget(now)
+            self.home.drop_expired(now)
             self._pump()
             for key, share in list(self.shares.items()):
                 in_use = share.running or share.waiting
@@ -173,7 +173,7 @@
                 self._renew(self.places, now)
 
     def _renew(self, share: decisions.QuotaShare, now: float) -> None:
-        if now - share.granted_from > decisions.QUOTA_RENEW_S:
+        if now - share.lease_start > decisions.QUOTA_RENEW_S:
             self._request_lease(share)
 
     async def _await_slot(
@@ -210,7 +210,7 @@
         of the rows in use at each entry. If no home can be reached, they
         are split evenly, which ignores the weights but idles no engine.
         """
-        if self.places.leased(now):
+        if self.places.has_leased_slots(now):
             return max(1, self.places.slots_now(now))
         return max(1, self.engine_slots // self.places.entries)
 
@@ -257,7 +257,7 @@
         share = self.shares.get(row.key)
         if share is None:
             share = decisions.QuotaShare(row, len(self.entries()))
-            share.filled_at = share.used_at = self.clock()
+            share.refilled_at = share.used_at = self.clock()
             self.shares[row.key] = share
         share.row = row
         share.entries = max(1, len(self.entries()))
@@ -265,7 +265,7 @@
 
     async def _await_lease(self, share: decisions.QuotaShare) -> None:
         """Wait for the first lease, so that limits can be checked."""
-        leased = self.clock() < share.granted_from + decisions.QUOTA_LEASE_S
+        leased = self.clock() < share.lease_start + decisions.QUOTA_LEASE_S
         if not share.limited or leased or share.allows(self.clock()):
             if share.limited and not leased:
                 self._request_lease(share)
@@ -319,7 +319,7 @@
         except errors.PeerError:
             self.metrics.count('quota.home_lost')
             return
-        share.take_grant(grant, sent_at)
+        share.apply_grant(grant, sent_at)
         self._pump()
 
     async def _on_quota_ask(
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -39,7 +39,7 @@
         )
         # The reply may be late; the lease runs from the time of the request.
         now += rng.random() * 0.3
-        share.take_grant(grant, sent)
+        share.apply_grant(grant, sent)
         rates = [s._rate_limit(now) for s in shares.values()]
         slots = [s._slot_limit(now) for s in shares.values()]
         assert sum(rates) <= LIMITED.token_rate + 1e-6
@@ -61,7 +61,7 @@
 
 def test_suspended_holder_keeps_only_its_floor():
     share = decisions.QuotaShare(LIMITED, len(ENTRIES))
-    share.take_grant(messages.QuotaGrant(90.0, 10, LEASE_S), 50.0)
+    share.apply_grant(messages.QuotaGrant(90.0, 10, LEASE_S), 50.0)
     assert share.allows(51.0)
     share.running = 1
     assert not share.allows(50.0 + LEASE_S)
@@ -138,7 +138,7 @@
 
 def test_token_debt_blocks_the_next_request():
     share = decisions.QuotaShare(conftest.row(token_rate=10.0), 1)
-    share.take_grant(messages.QuotaGrant(9.0, 0, LEASE_S), 0.0)
+    share.apply_grant(messages.QuotaGrant(9.0, 0, LEASE_S), 0.0)
     assert share.allows(0.5)
     share.start(60.0, 0.5)
     assert not share.allows(1.0)
