--- a/src/bulrushhold/decisions/_transcript.py
+++ b/src/bulrushhold/decisions/_transcript.py
@@ -9,7 +9,7 @@
     """Result of offering a token or end mark to a transcript."""
 
     ACCEPTED = 'accepted'
-    REPEATED = 'repeated'
+    DUPLICATE = 'repeated'
     MISSING = 'missing'
     STALE = 'stale'
     WRONG_REQUEST = 'crossed'
@@ -33,18 +33,18 @@
     tokens: list[str] = attrs.field(factory=list)
     version: str = ''
     finish: str = ''
-    contenders: dict[int, str] = attrs.field(factory=dict)
+    active_attempts: dict[int, str] = attrs.field(factory=dict)
     last_attempt: int = 0
 
     def start_attempt(self, version: str) -> int:
         """Register a new active attempt and return its number."""
         self.last_attempt += 1
-        self.contenders[self.last_attempt] = version
+        self.active_attempts[self.last_attempt] = version
         return self.last_attempt
 
     def end_attempt(self, attempt: int) -> None:
         """Ignore an attempt from now on."""
-        self.contenders.pop(attempt, None)
+        self.active_attempts.pop(attempt, None)
 
     def accept(
         self, request: str, attempt: int, offset: int, text: str, finish: str
@@ -56,9 +56,9 @@
         verdict = self._classify(request, attempt, offset)
         if verdict is not Verdict.ACCEPTED:
             return verdict
-        if len(self.contenders) > 1:
-            self.contenders = {attempt: self.contenders[attempt]}
-        self.version = self.contenders[attempt]
+        if len(self.active_attempts) > 1:
+            self.active_attempts = {attempt: self.active_attempts[attempt]}
+        self.version = self.active_attempts[attempt]
         if finish:
             self.finish = finish
         else:
@@ -68,10 +68,10 @@
     def _classify(self, request: str, attempt: int, offset: int) -> Verdict:
         if request != self.request:
             return Verdict.WRONG_REQUEST
-        if attempt not in self.contenders or self.finish:
+        if attempt not in self.active_attempts or self.finish:
             return Verdict.STALE
         if offset < len(self.tokens):
-            return Verdict.REPEATED
+            return Verdict.DUPLICATE
         if offset > len(self.tokens):
             return Verdict.MISSING
         return Verdict.ACCEPTED
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -296,7 +296,7 @@
             attempt=attempt.number,
             engine=attempt.state.server.name,
         ).warning('token dropped: {}', verdict.value)
-        return verdict is decisions.Verdict.REPEATED
+        return verdict is decisions.Verdict.DUPLICATE
 
     def _apply_load_report(self, state: decisions.BackendState) -> None:
         report = self.engines.reports.pop(state.server.address, None)
@@ -468,10 +468,10 @@
         live: dict[int, _attempts.Attempt],
     ) -> None:
         """Stop the attempts that lost to another attempt."""
-        contenders = generation.transcript.contenders
+        active_attempts = generation.transcript.active_attempts
         for attempt in list(live.values()):
             ended = attempt.task is not None and attempt.task.done()
-            if attempt.number not in contenders and not ended:
+            if attempt.number not in active_attempts and not ended:
                 self._stop(generation, attempt, live)
 
     def _remove_ended(
--- a/tests/test_takeover_orders.py
+++ b/tests/test_takeover_orders.py
@@ -162,9 +162,9 @@
 
     def end_random_attempt(self):
         served = self.random_served()
-        if served is not None and served.transcript.contenders:
+        if served is not None and served.transcript.active_attempts:
             served.transcript.end_attempt(
-                self.rng.choice(list(served.transcript.contenders))
+                self.rng.choice(list(served.transcript.active_attempts))
             )
 
     def send(self):
