--- a/src/bulrushhold/control/_server.py
+++ b/src/bulrushhold/control/_server.py
@@ -378,7 +378,7 @@
 
     def _table_at(self, revision: int) -> messages.TableReply:
         table = self.state.table
-        if not table.knows(revision):
+        if not table.has_revision(revision):
             return messages.TableReply('done', revision=-1)
         return messages.TableReply(
             'done', revision=revision, whole=True, rows=table.rows(revision)
--- a/src/bulrushhold/decisions/_table.py
+++ b/src/bulrushhold/decisions/_table.py
@@ -51,7 +51,7 @@
             key=lambda row: row.key,
         )
 
-    def knows(self, revision: int) -> bool:
+    def has_revision(self, revision: int) -> bool:
         """Whether an edit may be based on a revision."""
         return self.floor <= revision <= self.revision
 
@@ -88,7 +88,7 @@
         return outcome
 
     def _apply_new(self, edit: messages.TableEdit) -> messages.EditOutcome:
-        if not self.knows(edit.base):
+        if not self.has_revision(edit.base):
             return messages.EditOutcome(
                 False,
                 self.revision,
