--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -314,7 +314,7 @@
 
 @pytest_asyncio.fixture
 async def core(tmp_path):
-    made = cores.Core(tmp_path)
+    made = cores.ControlCluster(tmp_path)
     yield made
     for name in list(made.running):
         await made.stop(name)
--- a/tests/cores.py
+++ b/tests/cores.py
@@ -13,7 +13,7 @@
 TIMING = decisions.Timing(heartbeat_s=0.03, election_s=0.15)
 
 
-class Core:
+class ControlCluster:
     """Control processes in the test's event loop, over real sockets."""
 
     def __init__(self, folder):
