--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -8,6 +8,9 @@
 from bulrushhold.decisions._admissioncontrol import retry_after_s
 from bulrushhold.decisions._backendserver import BackendServer
 from bulrushhold.decisions._claims import ClaimState
+from bulrushhold.decisions._configchanges import new_identity
+from bulrushhold.decisions._configchanges import next_config
+from bulrushhold.decisions._configchanges import with_learner
 from bulrushhold.decisions._controlservers import ControlServers
 from bulrushhold.decisions._copies import CopyStore
 from bulrushhold.decisions._enginespeeds import EngineSpeeds
@@ -15,22 +18,21 @@
 from bulrushhold.decisions._enginespeeds import PauseSamples
 from bulrushhold.decisions._enginespeeds import PromptRead
 from bulrushhold.decisions._fairqueue import FairQueue
-from bulrushhold.decisions._homes import copy_peers
-from bulrushhold.decisions._homes import entries_for_account
-from bulrushhold.decisions._homes import entries_needed
-from bulrushhold.decisions._homes import home_entries
-from bulrushhold.decisions._homes import rendezvous_order
-from bulrushhold.decisions._homes import SMALL_ACCOUNT_ENTRIES
 from bulrushhold.decisions._lifecycle import Lifecycle
 from bulrushhold.decisions._loadaggregator import LoadAggregator
-from bulrushhold.decisions._members import new_identity
-from bulrushhold.decisions._members import next_config
-from bulrushhold.decisions._members import with_learner
-from bulrushhold.decisions._membership import Membership
-from bulrushhold.decisions._membership import PERIOD_S as MEMBERSHIP_PERIOD_S
-from bulrushhold.decisions._membership import (
+from bulrushhold.decisions._rendezvous import copy_peers
+from bulrushhold.decisions._rendezvous import entries_for_account
+from bulrushhold.decisions._rendezvous import entries_needed
+from bulrushhold.decisions._rendezvous import home_entries
+from bulrushhold.decisions._rendezvous import rendezvous_order
+from bulrushhold.decisions._rendezvous import SMALL_ACCOUNT_ENTRIES
+from bulrushhold.decisions._swim import Membership
+from bulrushhold.decisions._swim import PERIOD_S as MEMBERSHIP_PERIOD_S
+from bulrushhold.decisions._swim import (
     PROBE_S as MEMBERSHIP_PROBE_TIMEOUT_S,
 )
+from bulrushhold.decisions._enginecrashes import content_fingerprint
+from bulrushhold.decisions._enginecrashes import EngineCrashTracker
 from bulrushhold.decisions._placement import Placement
 from bulrushhold.decisions._poisonrequests import fingerprint
 from bulrushhold.decisions._poisonrequests import PoisonRequestDetector
@@ -38,6 +40,10 @@
 from bulrushhold.decisions._quota import QuotaHome
 from bulrushhold.decisions._quota import QuotaShare
 from bulrushhold.decisions._quota import RENEW_S as QUOTA_RENEW_S
+from bulrushhold.decisions._raftstate import PersistedState
+from bulrushhold.decisions._raftstate import Ready
+from bulrushhold.decisions._raftstate import Role
+from bulrushhold.decisions._raftstate import Timing
 from bulrushhold.decisions._recovery import Action
 from bulrushhold.decisions._recovery import GapEstimate
 from bulrushhold.decisions._recovery import HedgingPolicy
@@ -45,10 +51,6 @@
 from bulrushhold.decisions._recovery import SequentialPolicy
 from bulrushhold.decisions._recovery import WorkBudget
 from bulrushhold.decisions._replica import Replica
-from bulrushhold.decisions._roles import PersistedState
-from bulrushhold.decisions._roles import Ready
-from bulrushhold.decisions._roles import Role
-from bulrushhold.decisions._roles import Timing
 from bulrushhold.decisions._routing import BackendState
 from bulrushhold.decisions._routing import Choice
 from bulrushhold.decisions._routing import Router
@@ -56,8 +58,6 @@
 from bulrushhold.decisions._stalltimeouts import first_event_timeout_s
 from bulrushhold.decisions._stalltimeouts import StallTimeouts
 from bulrushhold.decisions._statemachine import ReplicatedState
-from bulrushhold.decisions._suspects import content_fingerprint
-from bulrushhold.decisions._suspects import EngineCrashTracker
 from bulrushhold.decisions._table import difference
 from bulrushhold.decisions._table import TableState
 from bulrushhold.decisions._tablecsv import read as read_csv
--- a/src/bulrushhold/decisions/_replica.py
+++ b/src/bulrushhold/decisions/_replica.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from bulrushhold.decisions import _raftlog
-from bulrushhold.decisions import _roles
+from bulrushhold.decisions import _raftstate
 from bulrushhold import messages
 
 MAX_ENTRIES_PER_APPEND: t.Final = 512
@@ -35,8 +35,8 @@
     def __init__(
         self,
         ident: str,
-        durable: _roles.PersistedState,
-        timing: _roles.Timing,
+        durable: _raftstate.PersistedState,
+        timing: _raftstate.Timing,
         rng: random.Random,
         now: float,
     ) -> None:
@@ -52,10 +52,10 @@
         self.commit = snapshot.index
         self.applied = snapshot.index
         self.saved = self.last_index
-        self.role = _roles.Role.FOLLOWER
+        self.role = _raftstate.Role.FOLLOWER
         self.leader = ''
         self.votes: set[str] = set()
-        self.progress: dict[str, _roles.Progress] = {}
+        self.progress: dict[str, _raftstate.Progress] = {}
         self.heartbeat_number = 0
         self.heartbeat_sent_at: dict[int, float] = {}
         self.next_heartbeat_at = 0.0
@@ -67,7 +67,7 @@
         self.term_leader = self.log.leader_of(self.term)
         self.election_at = 0.0
         self._reset_election(now)
-        self._ready = _roles.Ready(term=self.term, vote=self.vote)
+        self._ready = _raftstate.Ready(term=self.term, vote=self.vote)
 
     @property
     def last_index(self) -> int:
@@ -83,7 +83,7 @@
     def committed_in_term(self) -> bool:
         """Whether this leader has committed an entry of its own term."""
         return (
-            self.role is _roles.Role.LEADER
+            self.role is _raftstate.Role.LEADER
             and self.log.term_of(self.commit) == self.term
         )
 
@@ -100,7 +100,7 @@
         """Return seconds since the last contact with a leader; 0 as leader."""
         return (
             0.0
-            if self.role is _roles.Role.LEADER
+            if self.role is _raftstate.Role.LEADER
             else now - self.leader_contact_at
         )
 
@@ -113,7 +113,7 @@
 
         Returns ``None`` and does nothing if this replica isn't the leader.
         """
-        if self.role is not _roles.Role.LEADER:
+        if self.role is not _raftstate.Role.LEADER:
             return None
         self._append(messages.KIND_COMMAND, data)
         return self.last_index, self.term
@@ -132,7 +132,7 @@
 
     def tick(self, now: float) -> None:
         """Handle timers: heartbeats, elections and the quorum check."""
-        if self.role is _roles.Role.LEADER:
+        if self.role is _raftstate.Role.LEADER:
             if now >= self.next_heartbeat_at:
                 self._broadcast(now)
             if now > self._quorum_acked_at() + self.timing.election_s:
@@ -145,7 +145,7 @@
 
     def seconds_until_tick(self, now: float) -> float:
         """Return seconds until the next timer that :meth:`tick` handles."""
-        is_leader = self.role is _roles.Role.LEADER
+        is_leader = self.role is _raftstate.Role.LEADER
         return (
             self.next_heartbeat_at if is_leader else self.election_at
         ) - now
@@ -165,12 +165,12 @@
 
     def flush(self, now: float) -> None:
         """Send new entries as leader without waiting for a heartbeat."""
-        if self.role is _roles.Role.LEADER and any(
+        if self.role is _raftstate.Role.LEADER and any(
             p.next <= self.last_index for p in self.progress.values()
         ):
             self._broadcast(now)
 
-    def take_ready(self) -> _roles.Ready:
+    def take_ready(self) -> _raftstate.Ready:
         """Return the pending work of the driver.
 
         The driver calls ``mark_saved`` once the entries are synced.
@@ -185,13 +185,13 @@
         if last >= first:
             ready.committed = self.log.slice(first, last - first + 1)
             self.applied = last
-        self._ready = _roles.Ready(term=self.term, vote=self.vote)
+        self._ready = _raftstate.Ready(term=self.term, vote=self.vote)
         return ready
 
     def mark_saved(self, index: int) -> None:
         """Record that all entries up to ``index`` are synced to disk."""
         self.saved = min(index, self.last_index)
-        if self.role is _roles.Role.LEADER:
+        if self.role is _raftstate.Role.LEADER:
             self._advance_commit()
 
     def compact(self, index: int, state: bytes) -> messages.InstallSnapshot:
@@ -204,9 +204,9 @@
         self._reset_election(now)
         self.leader = ''
         if pre:
-            self.role = _roles.Role.PRE_CANDIDATE
+            self.role = _raftstate.Role.PRE_CANDIDATE
         else:
-            self.role = _roles.Role.CANDIDATE
+            self.role = _raftstate.Role.CANDIDATE
             self.term += 1
             self.term_leader = ''
             self.vote = self.ident
@@ -267,10 +267,10 @@
         if not reply.granted:
             return
         if reply.pre:
-            role_matches = self.role is _roles.Role.PRE_CANDIDATE
+            role_matches = self.role is _raftstate.Role.PRE_CANDIDATE
             term_matches = reply.asked == self.term + 1
         else:
-            role_matches = self.role is _roles.Role.CANDIDATE
+            role_matches = self.role is _raftstate.Role.CANDIDATE
             term_matches = reply.asked == self.term
         if role_matches and term_matches:
             self.votes.add(reply.voter)
@@ -280,16 +280,16 @@
         voters = self.config.voters
         if len(self.votes & voters.keys()) <= len(voters) // 2:
             return
-        if self.role is _roles.Role.PRE_CANDIDATE:
+        if self.role is _raftstate.Role.PRE_CANDIDATE:
             self._start_election(now, pre=False)
-        elif self.role is _roles.Role.CANDIDATE:
+        elif self.role is _raftstate.Role.CANDIDATE:
             self._become_leader(now)
 
     def _become_leader(self, now: float) -> None:
-        self.role = _roles.Role.LEADER
+        self.role = _raftstate.Role.LEADER
         self.leader = self.ident
         self.progress = {
-            peer: _roles.Progress(next=self.last_index + 1)
+            peer: _raftstate.Progress(next=self.last_index + 1)
             for peer in self._peers()
         }
         self.heartbeat_sent_at = {}
@@ -308,7 +308,7 @@
             self.vote = ''
             self.term_leader = ''
             self._ready.must_save = True
-        self.role = _roles.Role.FOLLOWER
+        self.role = _raftstate.Role.FOLLOWER
         self.leader = leader
         self._reset_election(now)
 
@@ -342,7 +342,7 @@
         peers = self._peers()
         for peer in peers:
             self.progress.setdefault(
-                peer, _roles.Progress(next=self.last_index)
+                peer, _raftstate.Progress(next=self.last_index)
             )
         for peer in set(self.progress) - set(peers):
             del self.progress[peer]
@@ -450,7 +450,7 @@
             return
         progress = self.progress.get(reply.follower)
         if (
-            self.role is not _roles.Role.LEADER
+            self.role is not _raftstate.Role.LEADER
             or progress is None
             or reply.term < self.term
         ):
--- a/src/bulrushhold/decisions/_routing.py
+++ b/src/bulrushhold/decisions/_routing.py
@@ -9,8 +9,8 @@
 import attrs
 import xxhash
 
-from bulrushhold.decisions import _homes
 from bulrushhold.decisions import _recovery
+from bulrushhold.decisions import _rendezvous
 from bulrushhold import ports
 
 MIN_CANDIDATES: t.Final = 4
@@ -254,7 +254,7 @@
             engines = [
                 s for s in self.states.values() if s.server.kind == 'engine'
             ]
-            ranking = _homes.rendezvous_order(
+            ranking = _rendezvous.rendezvous_order(
                 key, engines, lambda s: s.server.name
             )
             self.rankings[key] = ranking
