--- a/src/bulrushhold/forwarding/_admission.py
+++ b/src/bulrushhold/forwarding/_admission.py
@@ -7,7 +7,7 @@
 import attrs
 
 from bulrushhold import decisions
-from bulrushhold.forwarding import _parts
+from bulrushhold.forwarding import _context
 
 
 @attrs.frozen
@@ -23,8 +23,8 @@
 
 
 async def wait_for_admission(
-    context: _parts.Parts,
-    job: _parts.Job,
+    context: _context.Parts,
+    job: _context.Job,
     estimate_capacity: cabc.Callable[[], decisions.CapacityEstimate],
     *,
     waiting_since: float,
@@ -72,7 +72,7 @@
     finally:
         admission.waiting[service] -= 1
     if now > started:
-        _parts.log(
+        _context.log(
             job,
             'stream queued',
             seconds=round(now - started, 3),
--- a/src/bulrushhold/forwarding/_flow.py
+++ b/src/bulrushhold/forwarding/_engine_stream.py
@@ -9,9 +9,9 @@
 from bulrushhold import calls
 from bulrushhold import decisions
 from bulrushhold import errors
+from bulrushhold.forwarding import _context
 from bulrushhold.forwarding import _events
 from bulrushhold.forwarding import _liveness
-from bulrushhold.forwarding import _parts
 
 if t.TYPE_CHECKING:
     from bulrushhold.forwarding import _streams
@@ -94,7 +94,7 @@
     async def run(self) -> calls.Reply | None:
         answer = await self._open()
         head = answer.head
-        _parts.record_load(self.context, self.engine.ident, head)
+        _context.record_load(self.context, self.engine.ident, head)
         if head.not_run:
             if head.status == 421:
                 self.context.placement.mark_replaced(self.engine.ident)
@@ -286,7 +286,7 @@
                 except errors.BackendError as error:
                     # The engine itself may be failing: keep the last copy,
                     # from which the stream can resume.
-                    _parts.log(
+                    _context.log(
                         stream.job, 'copy not renewed', reason=str(error)
                     )
                     await asyncio.sleep(COPY_RENEWAL_S)
@@ -305,7 +305,7 @@
             self.backup.memory -= stream.memory
         target.memory += stream.memory
         self.backup = target
-        _parts.log(stream.job, 'copy requested', at=target.ident)
+        _context.log(stream.job, 'copy requested', at=target.ident)
 
     async def _forward_new_events(
         self, answer: calls.BackendAnswer, events: list[_events.Event]
--- a/src/bulrushhold/forwarding/_forwarder.py
+++ b/src/bulrushhold/forwarding/_forwarder.py
@@ -8,8 +8,8 @@
 from bulrushhold import calls
 from bulrushhold import decisions
 from bulrushhold import errors
+from bulrushhold.forwarding import _context
 from bulrushhold.forwarding import _fleet
-from bulrushhold.forwarding import _parts
 from bulrushhold.forwarding import _plain
 from bulrushhold.forwarding import _streams
 from bulrushhold import node
@@ -30,7 +30,7 @@
 class Forwarder:
     """Handles all opaque requests of this entry."""
 
-    def __init__(self, fleet: _fleet.Fleet, context: _parts.Parts) -> None:
+    def __init__(self, fleet: _fleet.Fleet, context: _context.Parts) -> None:
         self.fleet = fleet
         self.context = context
         self.closing = False
@@ -74,7 +74,7 @@
             async with asyncio.timeout(wait):
                 await self.fleet.became_ready.wait()
 
-    def _accept(self, call: calls.Call, now: float) -> _parts.Job:
+    def _accept(self, call: calls.Call, now: float) -> _context.Job:
         index = self.fleet.index
         if index is None or self.closing:
             raise errors.RequestError(
@@ -95,7 +95,9 @@
         self._refuse_poison_request(fingerprint, service, now)
         self.context.budget.count_request(service, now)
         deadline = now + min(call.wait_s, route.timeout_s)
-        return _parts.Job(call, route, service, account, deadline, fingerprint)
+        return _context.Job(
+            call, route, service, account, deadline, fingerprint
+        )
 
     def _refuse_unfinishable(
         self, service: str, route: routes.Route, now: float
--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -9,7 +9,7 @@
 from bulrushhold import calls
 from bulrushhold import decisions
 from bulrushhold import errors
-from bulrushhold.forwarding import _parts
+from bulrushhold.forwarding import _context
 
 # An idempotent request is sent to another server after this multiple of the
 # mean latency; slow answers of a healthy server stay below it.
@@ -37,7 +37,7 @@
 class PlainRun:
     """One plain request, with retries at other backend servers."""
 
-    def __init__(self, context: _parts.Parts, job: _parts.Job) -> None:
+    def __init__(self, context: _context.Parts, job: _context.Job) -> None:
         self.context = context
         self.job = job
         self.tried: set[str] = set()
@@ -95,20 +95,20 @@
         if self.context.budget.take(self.job.service, self.context.clock()):
             return True
         self.context.metrics.count('repeats.refused')
-        _parts.log(self.job, 'retry budget exhausted')
+        _context.log(self.job, 'retry budget exhausted')
         return False
 
     def _failure(
         self, last: _Result | None, ident: str
     ) -> errors.RequestError:
         if last is None:
-            return _parts.not_run_error(
+            return _context.not_run_error(
                 self.job, 'no backend server available'
             )
         if last.ran is errors.Ran.NO and not self.attempts:
-            return _parts.not_run_error(self.job, last.reason)
+            return _context.not_run_error(self.job, last.reason)
         timed_out = self._remaining_s() < MIN_REMAINING_S
-        return _parts.unknown_outcome_error(
+        return _context.unknown_outcome_error(
             self.job, last.reason, ident, timed_out=timed_out
         )
 
@@ -167,7 +167,7 @@
         try:
             answer = await self.context.client.send(self.job.call, attempt)
             head = answer.head
-            _parts.record_load(self.context, backend.ident, head)
+            _context.record_load(self.context, backend.ident, head)
             if head.not_run:
                 if head.status == 421:
                     self.context.placement.mark_replaced(backend.ident)
@@ -206,7 +206,7 @@
             backend.ident, now, unreachable=unreachable
         )
         self.context.metrics.count('attempts.failed')
-        _parts.log(
+        _context.log(
             self.job,
             'attempt failed',
             backend=backend.ident,
--- a/src/bulrushhold/forwarding/_prompts.py
+++ b/src/bulrushhold/forwarding/_prompt_cache.py
@@ -4,13 +4,13 @@
 import typing as t
 
 from bulrushhold import errors
-from bulrushhold.forwarding import _parts
+from bulrushhold.forwarding import _context
 
 LOOKUP_TIMEOUT_S: t.Final = 0.1
 
 
 async def find_cached_prompt(
-    context: _parts.Parts, job: _parts.Job, segment: str
+    context: _context.Parts, job: _context.Job, segment: str
 ) -> bool:
     """Return whether an engine has a prompt cached, and record which.
 
@@ -32,7 +32,7 @@
     holders = []
     for candidate, segments in zip(candidates, answers, strict=True):
         if isinstance(segments, errors.BackendError):
-            _parts.log(
+            _context.log(
                 job,
                 'cached segments unknown',
                 engine=candidate.ident,
@@ -42,7 +42,7 @@
             raise segments
         elif segment in segments:
             holders.append(candidate)
-    _parts.log(
+    _context.log(
         job,
         'prompt cache lookup',
         asked=len(candidates),
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -7,10 +7,10 @@
 from bulrushhold import decisions
 from bulrushhold import errors
 from bulrushhold.forwarding import _admission
-from bulrushhold.forwarding import _flow
+from bulrushhold.forwarding import _context
+from bulrushhold.forwarding import _engine_stream
 from bulrushhold.forwarding import _liveness
-from bulrushhold.forwarding import _parts
-from bulrushhold.forwarding import _prompts
+from bulrushhold.forwarding import _prompt_cache
 
 # A run that failed earlier has no copy at the backup yet.
 COPY_AFTER_S: t.Final = 0.3
@@ -29,8 +29,8 @@
 
     def __init__(
         self,
-        context: _parts.Parts,
-        job: _parts.Job,
+        context: _context.Parts,
+        job: _context.Job,
         caller_stream: calls.CallerStream,
     ) -> None:
         self.context = context
@@ -91,7 +91,7 @@
             started, last = self.context.clock(), self.last_event_id
             try:
                 reply = await self._attempt(engine, copy)
-            except _flow.StreamLostError as lost:
+            except _engine_stream.StreamLostError as lost:
                 reason, peer = str(lost), engine.ident
                 lost.seconds = self.context.clock() - started
                 lost.event_id_before = last
@@ -130,7 +130,7 @@
                 TOO_LARGE_RETRY_S,
             )
         resumes = self.job.call.after is not None
-        if resumes and await _prompts.find_cached_prompt(
+        if resumes and await _prompt_cache.find_cached_prompt(
             self.context, self.job, self.last_segment
         ):
             # A cached prompt needs no prefill and delays nobody.
@@ -144,7 +144,7 @@
         self, reason: str, retry_after_s: float
     ) -> errors.RequestError:
         self._log_end('stream refused', reason=reason)
-        return _parts.not_run_error(self.job, reason, retry_after_s)
+        return _context.not_run_error(self.job, reason, retry_after_s)
 
     def estimate_capacity(
         self, excluding: str = ''
@@ -192,7 +192,7 @@
         )
         return engine, None
 
-    async def _may_retry(self, lost: _flow.StreamLostError) -> bool:
+    async def _may_retry(self, lost: _engine_stream.StreamLostError) -> bool:
         run_started = (
             lost.unreachable
             or lost.reset
@@ -220,7 +220,7 @@
         ):
             return True
         self.context.metrics.count('repeats.refused')
-        _parts.log(
+        _context.log(
             self.job, 'retry budget exhausted', begun=self.caller_stream.begun
         )
         return False
@@ -238,7 +238,7 @@
 
     def _log_end(self, outcome: str, **fields: t.Any) -> None:
         first_s = self.first_s
-        _parts.log(
+        _context.log(
             self.job,
             outcome,
             last=self.last_event_id,
@@ -258,9 +258,9 @@
         if self.failure_reply is not None:
             return self.failure_reply
         if not self.lost_runs:
-            raise _parts.not_run_error(self.job, reason)
+            raise _context.not_run_error(self.job, reason)
         timed_out = self.remaining_s() < MIN_REMAINING_S
-        raise _parts.unknown_outcome_error(
+        raise _context.unknown_outcome_error(
             self.job, reason, peer, timed_out=timed_out
         )
 
@@ -279,8 +279,10 @@
         engine.memory += self.memory
         if backup is not None:
             backup.memory += self.memory
-        engine_stream = _flow.EngineStream(self, engine, copy, backup, reading)
-        _parts.log(
+        engine_stream = _engine_stream.EngineStream(
+            self, engine, copy, backup, reading
+        )
+        _context.log(
             self.job,
             'stream dispatched',
             engine=engine.ident,
@@ -318,7 +320,9 @@
         )
 
     async def _check_reachable(
-        self, engine: decisions.BackendServer, lost: _flow.StreamLostError
+        self,
+        engine: decisions.BackendServer,
+        lost: _engine_stream.StreamLostError,
     ) -> None:
         """Check whether an engine that broke the connection is alive.
 
@@ -331,7 +335,9 @@
             lost.unreachable = False
 
     def _record_loss(
-        self, engine: decisions.BackendServer, lost: _flow.StreamLostError
+        self,
+        engine: decisions.BackendServer,
+        lost: _engine_stream.StreamLostError,
     ) -> None:
         now = self.context.clock()
         self.context.placement.record_failure(
@@ -346,7 +352,7 @@
             )
         if self.caller_stream.begun and self.interrupted_at is None:
             self.interrupted_at = now
-        _parts.log(
+        _context.log(
             self.job,
             'engine lost',
             engine=engine.ident,
@@ -362,7 +368,7 @@
             self.context.metrics.time(
                 'streams.resumed', now - self.interrupted_at
             )
-            _parts.log(
+            _context.log(
                 self.job,
                 'stream resumed',
                 engine=ident,
--- a/tests/forwarding/test_stall_timeouts.py
+++ b/tests/forwarding/test_stall_timeouts.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from bulrushhold.forwarding import _flow
+from bulrushhold.forwarding import _engine_stream
 from tests.forwarding import fakes
 
 
 @pytest.fixture
 def short_timeouts(monkeypatch):
-    monkeypatch.setattr(_flow, 'FIRST_ASK_S', 0.02)
+    monkeypatch.setattr(_engine_stream, 'FIRST_ASK_S', 0.02)
     monkeypatch.setattr('bulrushhold.forwarding._streams.COPY_AFTER_S', 0.0)
 
 
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -164,7 +164,7 @@
     """Guards against a second prefill if no memory was free at the start."""
     streams = 'bulrushhold.forwarding._streams'
     monkeypatch.setattr(f'{streams}.COPY_AFTER_S', 0.0)
-    flow = 'bulrushhold.forwarding._flow'
+    flow = 'bulrushhold.forwarding._engine_stream'
     monkeypatch.setattr(f'{flow}.COPY_RENEWAL_S', 0.05)
     capacity = parts.placement.capacity
     capacity['engines'] = 9000
@@ -228,7 +228,9 @@
 
     monkeypatch.setattr(client, 'copy_run', copy_run)
     monkeypatch.setattr(fakes.FakeAnswer, 'chunk', chunk)
-    monkeypatch.setattr('bulrushhold.forwarding._flow.COPY_RENEWAL_S', 0.02)
+    monkeypatch.setattr(
+        'bulrushhold.forwarding._engine_stream.COPY_RENEWAL_S', 0.02
+    )
     monkeypatch.setattr('bulrushhold.forwarding._streams.COPY_AFTER_S', 0.0)
     client.scripts = [
         fakes.Script(events=(1, 2), then='crash'),
