--- a/src/bulrushhold/composition/_forwarding.py
+++ b/src/bulrushhold/composition/_forwarding.py
@@ -85,7 +85,7 @@
             placement.count_losses_near
         )
         admission = decisions.AdmissionController()
-        self.fleet = forwarding.Fleet(
+        self.fleet = forwarding.FleetView(
             messages.ListedEntry(
                 config.name, config.data_centre, str(config.callers), True
             ),
@@ -98,7 +98,7 @@
             admission,
         )
         self.metrics = node.make_prometheus_metrics('bulrushhold_entry')
-        components = forwarding.Parts(
+        components = forwarding.ForwardingContext(
             placement,
             self.client,
             budget,
@@ -112,9 +112,11 @@
         )
         self.follow_task = _background.in_background(self.fleet.follow())
         self.background.append(
-            _background.in_background(self.fleet.read_list_alone())
+            _background.in_background(self.fleet.poll_backend_list())
+        )
+        self.background.append(
+            _background.in_background(self.fleet.report_load())
         )
-        self.background.append(_background.in_background(self.fleet.share()))
         await self.ingress.start(config.callers.host, config.callers.port)
         for address, make_application in self.adapters.listeners:
             await self._start_listener(
@@ -145,13 +147,13 @@
         before the exit.
         """
         started_at = time.monotonic()
-        self.fleet.leave()
+        self.fleet.start_draining()
         self.ingress.draining = True
         self.follow_task.cancel()
         self.follow_task = _background.in_background(self.fleet.follow())
         loguru.logger.info('draining')
         deadline = started_at + self.config.grace_s - EXIT_MARGIN_S
-        self.forwarder.ends_at = deadline
+        self.forwarder.drain_deadline = deadline
         while time.monotonic() < deadline:
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
             now = time.monotonic()
--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -128,7 +128,7 @@
         self.placement.on_load_change = self._schedule_report
         self.report_scheduled = False
         self.summary_number = 0
-        self.parts = forwarding.Parts(
+        self.context = forwarding.ForwardingContext(
             self.placement,
             client,
             self.budget,
@@ -308,7 +308,9 @@
         job = _make_job(load, ident, prompt, now, remaining_s)
         entry.budget.count_request(SERVICE, now)
         run = asyncio.ensure_future(
-            forwarding.StreamRun(entry.parts, job, _Caller(outcome)).run()
+            forwarding.StreamForwarder(
+                entry.context, job, _Caller(outcome)
+            ).run()
         )
         # Callers abandon a stream that has no first event, and any stream
         # at its deadline.
--- a/src/bulrushhold/forwarding/__init__.py
+++ b/src/bulrushhold/forwarding/__init__.py
@@ -1,21 +1,21 @@
 """Forwards opaque requests: routing, retries and stream resumption."""
 
+from bulrushhold.forwarding._context import ForwardingContext
 from bulrushhold.forwarding._context import Job
-from bulrushhold.forwarding._context import Parts
 from bulrushhold.forwarding._events import Event
 from bulrushhold.forwarding._events import EventSplitter
-from bulrushhold.forwarding._fleet import Fleet
+from bulrushhold.forwarding._fleet import FleetView
 from bulrushhold.forwarding._forwarder import Forwarder
-from bulrushhold.forwarding._plain import PlainRun
-from bulrushhold.forwarding._streams import StreamRun
+from bulrushhold.forwarding._plain import PlainForwarder
+from bulrushhold.forwarding._streams import StreamForwarder
 
 __all__ = [
     'Event',
     'EventSplitter',
-    'Fleet',
+    'FleetView',
     'Forwarder',
+    'ForwardingContext',
     'Job',
-    'Parts',
-    'PlainRun',
-    'StreamRun',
+    'PlainForwarder',
+    'StreamForwarder',
 ]
--- a/src/bulrushhold/forwarding/_admission.py
+++ b/src/bulrushhold/forwarding/_admission.py
@@ -23,7 +23,7 @@
 
 
 async def wait_for_admission(
-    context: _context.Parts,
+    context: _context.ForwardingContext,
     job: _context.Job,
     estimate_capacity: cabc.Callable[[], decisions.CapacityEstimate],
     *,
--- a/src/bulrushhold/forwarding/_context.py
+++ b/src/bulrushhold/forwarding/_context.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class Parts:
+class ForwardingContext:
     """Objects shared by all requests of one entry."""
 
     placement: decisions.Placement
@@ -79,7 +79,9 @@
     )
 
 
-def record_load(context: Parts, ident: str, head: calls.AnswerHead) -> None:
+def record_load(
+    context: ForwardingContext, ident: str, head: calls.AnswerHead
+) -> None:
     """Record the server load that an answer reports."""
     if head.load is not None:
         context.placement.record_reported_load(
--- a/src/bulrushhold/forwarding/_engine_stream.py
+++ b/src/bulrushhold/forwarding/_engine_stream.py
@@ -17,7 +17,7 @@
     from bulrushhold.forwarding import _streams
 
 # Interval of liveness probes during prefill.
-FIRST_ASK_S: t.Final = 0.5
+PROBE_INTERVAL_S: t.Final = 0.5
 # Pauses between events are reported in batches.
 PAUSE_REPORT_INTERVAL_S: t.Final = 0.2
 # Standard deviations above the mean that cover most pauses, and nearly all
@@ -166,8 +166,8 @@
         self._expect_first_event()
         silence = _liveness.SilenceTimer(self.context.clock)
         while not self.send_task.done():
-            with silence.measure(FIRST_ASK_S):
-                await asyncio.wait({self.send_task}, timeout=FIRST_ASK_S)
+            with silence.measure(PROBE_INTERVAL_S):
+                await asyncio.wait({self.send_task}, timeout=PROBE_INTERVAL_S)
             if self.send_task.done():
                 break
             self._check_first_event(silence)
@@ -241,7 +241,7 @@
                 raise StreamLostError(str(error), unreachable=False) from error
             await self._forward_new_events(answer, events)
             self._ensure_copy()
-        if splitter.rest:
+        if splitter.buffer:
             raise StreamLostError('incomplete last event', unreachable=False)
         if not self.stream.caller_stream.begun:
             await self.stream.caller_stream.begin(
@@ -360,7 +360,7 @@
             probe_after_s = (
                 self.stall_timeouts.probe_after_s
                 if self.received_event
-                else FIRST_ASK_S
+                else PROBE_INTERVAL_S
             )
             with (
                 contextlib.suppress(TimeoutError),
--- a/src/bulrushhold/forwarding/_events.py
+++ b/src/bulrushhold/forwarding/_events.py
@@ -30,7 +30,7 @@
     """Reassembles events from chunks of any size."""
 
     def __init__(self) -> None:
-        self.rest = b''
+        self.buffer = b''
 
     def feed(self, chunk: bytes) -> list[Event]:
         """Return the events that ``chunk`` completes.
@@ -38,8 +38,8 @@
         :raises BackendError: if an event exceeds ``MAX_EVENT_BYTES`` or its
             id is not an integer.
         """
-        *complete, self.rest = (self.rest + chunk).split(_EVENT_END)
-        if len(self.rest) > MAX_EVENT_BYTES:
+        *complete, self.buffer = (self.buffer + chunk).split(_EVENT_END)
+        if len(self.buffer) > MAX_EVENT_BYTES:
             raise errors.BackendError('event too long', 'stream')
         return [Event(_event_id(data), data + _EVENT_END) for data in complete]
 
--- a/src/bulrushhold/forwarding/_fleet.py
+++ b/src/bulrushhold/forwarding/_fleet.py
@@ -37,7 +37,7 @@
 LIST_CALLS_PER_S: t.Final = 12.0
 
 
-class Fleet:
+class FleetView:
     """Watches control processes and caches their latest replies.
 
     :param own_entry: this entry, as control lists it.
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        me: messages.ListedEntry,
+        own_entry: messages.ListedEntry,
         seeds: list[str],
         transport: ports.Transport,
         backend_list: ports.BackendList,
@@ -57,7 +57,7 @@
         poison_requests: decisions.PoisonRequestDetector,
         admission: decisions.AdmissionController,
     ) -> None:
-        self.me = me
+        self.own_entry = own_entry
         self.transport = transport
         self.backend_list = backend_list
         self.placement = placement
@@ -65,9 +65,9 @@
         self.poison_requests = poison_requests
         self.admission = admission
         self.servers = decisions.ControlServers(
-            me.data_centre, seeds, random.Random()
+            own_entry.data_centre, seeds, random.Random()
         )
-        self.server = ''
+        self.control_address = ''
         self.index: routes.RouteIndex | None = None
         self.backends_version = ''
         self.backends_at = 0.0
@@ -90,11 +90,11 @@
         """Whether this entry has a route map and backend servers."""
         return self.index is not None and bool(self.placement.backends)
 
-    def leave(self) -> None:
+    def start_draining(self) -> None:
         """Advertise this entry as not ready for new callers."""
-        self.me = attrs.evolve(self.me, ready=False)
+        self.own_entry = attrs.evolve(self.own_entry, ready=False)
 
-    def count(self) -> int:
+    def entry_count(self) -> int:
         """Return the number of entries, including this one."""
         return max(1, len(self.entries))
 
@@ -110,18 +110,20 @@
     async def follow(self) -> None:
         """Long-poll a control process forever, failing over on errors."""
         while True:
-            address = self.servers.choose(self.server, time.monotonic())
+            address = self.servers.choose(
+                self.control_address, time.monotonic()
+            )
             try:
                 answered = await self._poll(address)
             except errors.PeerError as error:
                 answered = False
-                if self.server == address:
+                if self.control_address == address:
                     loguru.logger.bind(peer=address, error=str(error)).warning(
                         'control lost'
                     )
                 self.servers.mark_failed(address, time.monotonic())
             if not answered:
-                self.server = ''
+                self.control_address = ''
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _poll(self, address: str) -> bool:
@@ -129,7 +131,7 @@
 
         A process without contact to the leader still replies with loads.
         """
-        if address != self.server:
+        if address != self.control_address:
             # Summary numbers are local to each control process.
             self.summary_number = 0
         reply = await self.transport.request(
@@ -142,17 +144,17 @@
                 address, reply.leader, time.monotonic()
             )
             return False
-        if self.server != address:
-            self.server = address
+        if self.control_address != address:
+            self.control_address = address
             node.log_decision('control found', peer=address)
             self.load_changed.set()
-        self._take(reply)
+        self._apply_reply(reply)
         return True
 
     def _poll_request(self) -> messages.Watch:
-        ready = self.ready and self.me.ready
+        ready = self.ready and self.own_entry.ready
         return messages.Watch(
-            attrs.evolve(self.me, ready=ready),
+            attrs.evolve(self.own_entry, ready=ready),
             messages.Known(
                 self.map_version,
                 self.backends_version,
@@ -163,7 +165,7 @@
             self.summary_number,
         )
 
-    def _take(self, reply: messages.WatchReply) -> None:
+    def _apply_reply(self, reply: messages.WatchReply) -> None:
         if reply.route_map is not None:
             self._apply_map(messages.unpack_map(reply.route_map))
         self._apply_list(reply)
@@ -172,7 +174,7 @@
             self.entries = reply.entries or []
         if reply.nodes is not None:
             self.nodes_version = reply.nodes_version
-        self.budget.entries = self.count()
+        self.budget.entries = self.entry_count()
         for hook in self.on_change:
             hook()
 
@@ -199,7 +201,7 @@
     ) -> None:
         now = time.monotonic()
         if summary is None:
-            if address == self.server:
+            if address == self.control_address:
                 # No summary means no change since the previous one.
                 self.placement.confirm_loads(now)
             return
@@ -212,29 +214,29 @@
         }
         self.admission.apply_loads(waiting, now)
 
-    async def share(self) -> None:
+    async def report_load(self) -> None:
         """Report this entry's load forever, whenever it changes."""
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(REPORT_REFRESH_S):
                     await self.load_changed.wait()
             self.load_changed.clear()
-            if self.server:
+            if self.control_address:
                 await self._report(self._load_report(time.monotonic()))
             await asyncio.sleep(REPORT_INTERVAL_S)
 
     async def _report(self, report: messages.LoadReport) -> None:
         if not report.urgent:
-            self.transport.send(self.server, report)
+            self.transport.send(self.control_address, report)
             return
         try:
             await self.transport.request(
-                self.server, report, URGENT_REPORT_TIMEOUT_S
+                self.control_address, report, URGENT_REPORT_TIMEOUT_S
             )
         except errors.PeerError as error:
-            loguru.logger.bind(peer=self.server, error=str(error)).warning(
-                'load report not acknowledged'
-            )
+            loguru.logger.bind(
+                peer=self.control_address, error=str(error)
+            ).warning('load report not acknowledged')
             self.placement.requeue_events(report)
             self.poison_requests.requeue_events(report.crashes)
             self.load_changed.set()
@@ -246,7 +248,7 @@
             for service, one in self.budget.traffic(now).items()
         }
         return attrs.evolve(
-            self.placement.load_report(self.me.name, traffic, now),
+            self.placement.load_report(self.own_entry.name, traffic, now),
             crashes=self.poison_requests.take_pending(),
         )
 
@@ -277,12 +279,12 @@
 
     # Fallback without control
 
-    async def read_list_alone(self) -> None:
+    async def poll_backend_list(self) -> None:
         """Read the platform's list whenever control's copy is too old."""
         pause = FIRST_LIST_DELAY_S
         while True:
             await asyncio.sleep(pause * (0.75 + random.random() / 2))
-            pause = max(1.0, self.count() / LIST_CALLS_PER_S)
+            pause = max(1.0, self.entry_count() / LIST_CALLS_PER_S)
             if time.monotonic() - self.backends_at < LIST_MAX_AGE_S:
                 continue
             with contextlib.suppress(TimeoutError, errors.PeerError):
@@ -300,9 +302,13 @@
             callers across entries.
         """
         ready = [entry.callers for entry in self.entries if entry.ready]
-        if self.me.ready and self.ready and self.me.callers not in ready:
-            ready.append(self.me.callers)
-        elif not self.me.ready and self.me.callers in ready:
-            ready.remove(self.me.callers)
+        if (
+            self.own_entry.ready
+            and self.ready
+            and self.own_entry.callers not in ready
+        ):
+            ready.append(self.own_entry.callers)
+        elif not self.own_entry.ready and self.own_entry.callers in ready:
+            ready.remove(self.own_entry.callers)
         random.shuffle(ready)
         return ready[:limit]
--- a/src/bulrushhold/forwarding/_forwarder.py
+++ b/src/bulrushhold/forwarding/_forwarder.py
@@ -30,11 +30,13 @@
 class Forwarder:
     """Handles all opaque requests of this entry."""
 
-    def __init__(self, fleet: _fleet.Fleet, context: _context.Parts) -> None:
+    def __init__(
+        self, fleet: _fleet.FleetView, context: _context.ForwardingContext
+    ) -> None:
         self.fleet = fleet
         self.context = context
         self.closing = False
-        self.ends_at = float('inf')
+        self.drain_deadline = float('inf')
 
     async def handle(
         self, call: calls.Call, caller_stream: calls.CallerStream
@@ -50,11 +52,11 @@
                 await self._wait_for_start(call)
             job = self._accept(call, started)
             if job.route.kind is routes.Kind.STREAM:
-                reply = await _streams.StreamRun(
+                reply = await _streams.StreamForwarder(
                     self.context, job, caller_stream
                 ).run()
             else:
-                reply = await _plain.PlainRun(self.context, job).run()
+                reply = await _plain.PlainForwarder(self.context, job).run()
         except errors.RequestError as error:
             self.context.metrics.count(f'requests.refused.{error.status}')
             _log_refusal(call, error, self.fleet.map_version)
@@ -108,7 +110,10 @@
         at another entry instead of losing the stream midway.
         """
         run_s = self.context.placement.speeds.run_s(service, now)
-        if now + LONG_RUN_FACTOR * (run_s or route.aim_s) > self.ends_at:
+        if (
+            now + LONG_RUN_FACTOR * (run_s or route.aim_s)
+            > self.drain_deadline
+        ):
             raise errors.RequestError(
                 'shutting down before the stream could complete',
                 'accept',
--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -34,10 +34,12 @@
     reply: calls.Reply | None = None
 
 
-class PlainRun:
+class PlainForwarder:
     """One plain request, with retries at other backend servers."""
 
-    def __init__(self, context: _context.Parts, job: _context.Job) -> None:
+    def __init__(
+        self, context: _context.ForwardingContext, job: _context.Job
+    ) -> None:
         self.context = context
         self.job = job
         self.tried: set[str] = set()
--- a/src/bulrushhold/forwarding/_prompt_cache.py
+++ b/src/bulrushhold/forwarding/_prompt_cache.py
@@ -10,7 +10,7 @@
 
 
 async def find_cached_prompt(
-    context: _context.Parts, job: _context.Job, segment: str
+    context: _context.ForwardingContext, job: _context.Job, segment: str
 ) -> bool:
     """Return whether an engine has a prompt cached, and record which.
 
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -21,7 +21,7 @@
 TOO_LARGE_RETRY_S: t.Final = 60.0
 
 
-class StreamRun:
+class StreamForwarder:
     """One stream, on one engine after another.
 
     :param caller_stream: the answer to the caller.
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        context: _context.Parts,
+        context: _context.ForwardingContext,
         job: _context.Job,
         caller_stream: calls.CallerStream,
     ) -> None:
--- a/tests/forwarding/conftest.py
+++ b/tests/forwarding/conftest.py
@@ -18,7 +18,7 @@
 
 
 @pytest.fixture
-def parts(client):
+def context(client):
     placement = decisions.Placement(random.Random(1))
     placement.update(
         [
@@ -28,7 +28,7 @@
             for n in range(6)
         ]
     )
-    return forwarding.Parts(
+    return forwarding.ForwardingContext(
         placement,
         client,
         decisions.ServiceRetryBudget(1.0, 100, 10.0),
@@ -47,14 +47,14 @@
 
 
 @pytest.fixture
-def fleet(parts):
-    return forwarding.Fleet(
+def fleet(context):
+    return forwarding.FleetView(
         messages.ListedEntry('e1', 'dc0', '10.0.1.1:80', True),
         ['10.0.2.1:70'],
         fakes.FakeTransport(),
         None,
-        parts.placement,
-        parts.budget,
-        parts.poison_requests,
-        parts.admission,
+        context.placement,
+        context.budget,
+        context.poison_requests,
+        context.admission,
     )
--- a/tests/forwarding/fakes.py
+++ b/tests/forwarding/fakes.py
@@ -158,7 +158,7 @@
 
 
 def a_job(
-    parts, kind, wait_s=5.0, after=None, attempts=5, aim_s=0.3, gap_s=0.0
+    context, kind, wait_s=5.0, after=None, attempts=5, aim_s=0.3, gap_s=0.0
 ):
     call = calls.Call(
         'req-1',
@@ -185,20 +185,20 @@
         gap_s=gap_s,
     )
     return forwarding.Job(
-        call, route, 'engines', 'acct', parts.clock() + wait_s
+        call, route, 'engines', 'acct', context.clock() + wait_s
     )
 
 
-async def stream(parts, **options):
+async def stream(context, **options):
     out = FakeCaller()
-    job = a_job(parts, routes.Kind.STREAM, **options)
-    reply = await forwarding.StreamRun(parts, job, out).run()
+    job = a_job(context, routes.Kind.STREAM, **options)
+    reply = await forwarding.StreamForwarder(context, job, out).run()
     return out, reply
 
 
-async def plain(parts, kind, **options):
-    return await forwarding.PlainRun(
-        parts, a_job(parts, kind, **options)
+async def plain(context, kind, **options):
+    return await forwarding.PlainForwarder(
+        context, a_job(context, kind, **options)
     ).run()
 
 
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -223,43 +223,45 @@
 
 
 async def test_a_stream_that_would_wait_too_long_is_refused_as_not_run(
-    client, parts
+    client, context
 ):
     # All engines are full, and the queue is too long for another stream.
-    parts.placement.speeds.record_run('engines', 10.0, parts.clock())
-    parts.placement.capacity = {'engines': 10_000}
-    for backend in parts.placement.backends.values():
+    context.placement.speeds.record_run('engines', 10.0, context.clock())
+    context.placement.capacity = {'engines': 10_000}
+    for backend in context.placement.backends.values():
         backend.memory = 10_000
-    parts.placement.last_report_at = parts.clock()
-    parts.admission.waiting['engines'] = 200
-    begun = parts.clock()
+    context.placement.last_report_at = context.clock()
+    context.admission.waiting['engines'] = 200
+    begun = context.clock()
     with pytest.raises(errors.RequestError) as caught:
-        await fakes.stream(parts, wait_s=25.0)
+        await fakes.stream(context, wait_s=25.0)
     assert caught.value.status == 503
     assert caught.value.ran is errors.Ran.NO
     assert caught.value.retry_after == 8.0
-    assert parts.clock() - begun < 0.5
+    assert context.clock() - begun < 0.5
     assert client.log == []
-    assert parts.admission.waiting['engines'] == 200
+    assert context.admission.waiting['engines'] == 200
 
 
 async def test_a_waiting_stream_is_placed_once_an_engine_has_free_memory(
-    client, parts
+    client, context
 ):
-    parts.placement.capacity = {'engines': 20_000}
-    for backend in parts.placement.backends.values():
+    context.placement.capacity = {'engines': 20_000}
+    for backend in context.placement.backends.values():
         backend.memory = 20_000
     client.scripts = [fakes.Script(events=(1, 2))]
     out = fakes.FakeCaller()
-    job = fakes.a_job(parts, routes.Kind.STREAM)
-    run = asyncio.ensure_future(forwarding.StreamRun(parts, job, out).run())
+    job = fakes.a_job(context, routes.Kind.STREAM)
+    run = asyncio.ensure_future(
+        forwarding.StreamForwarder(context, job, out).run()
+    )
     await asyncio.sleep(0.15)
     assert client.log == []
-    assert parts.admission.waiting['engines'] == 1
-    parts.placement.backends['i3'].memory = 0
+    assert context.admission.waiting['engines'] == 1
+    context.placement.backends['i3'].memory = 0
     await run
     assert out.data == fakes.text(1, 2)
-    assert parts.admission.waiting['engines'] == 0
+    assert context.admission.waiting['engines'] == 0
     # Under overload no copy is made where it would fill an engine.
     assert client.attempts[0].backup == ''
 
@@ -284,14 +286,14 @@
 
 
 async def test_a_prompt_too_large_for_any_engine_is_refused_at_once(
-    client, parts
+    client, context
 ):
     # Guards against waiting in vain before the refusal.
-    parts.placement.capacity = {'engines': 5000}
-    begun = parts.clock()
+    context.placement.capacity = {'engines': 5000}
+    begun = context.clock()
     with pytest.raises(errors.RequestError) as caught:
-        await fakes.stream(parts, wait_s=25.0)
-    assert parts.clock() - begun < 0.5
+        await fakes.stream(context, wait_s=25.0)
+    assert context.clock() - begun < 0.5
     assert caught.value.status == 503
     assert caught.value.ran is errors.Ran.NO
     assert client.log == []
--- a/tests/forwarding/test_fleet.py
+++ b/tests/forwarding/test_fleet.py
@@ -12,21 +12,21 @@
 
 
 async def test_a_request_at_a_starting_entry_waits_for_the_map(
-    client, parts, fleet
+    client, context, fleet
 ):
     # Guards against refusals after a cold start, just before the map arrives.
     client.scripts = [fakes.Script()]
-    forwarder = forwarding.Forwarder(fleet, parts)
-    call = fakes.a_job(parts, routes.Kind.IDEMPOTENT).call
+    forwarder = forwarding.Forwarder(fleet, context)
+    call = fakes.a_job(context, routes.Kind.IDEMPOTENT).call
     run = asyncio.ensure_future(forwarder.handle(call, fakes.FakeCaller()))
     await asyncio.sleep(0.05)
-    fleet._take(fakes.a_reply())
+    fleet._apply_reply(fakes.a_reply())
     assert (await run).status == 200
 
 
-async def test_without_a_map_requests_are_refused_as_not_run(parts, fleet):
-    forwarder = forwarding.Forwarder(fleet, parts)
-    call = fakes.a_job(parts, routes.Kind.ONCE, wait_s=0.1).call
+async def test_without_a_map_requests_are_refused_as_not_run(context, fleet):
+    forwarder = forwarding.Forwarder(fleet, context)
+    call = fakes.a_job(context, routes.Kind.ONCE, wait_s=0.1).call
     with pytest.raises(errors.RequestError) as caught:
         await forwarder.handle(call, fakes.FakeCaller())
     assert caught.value.status == 503
@@ -35,15 +35,15 @@
 
 @pytest.mark.parametrize(('run_s', 'served'), [(1.0, True), (7.0, False)])
 async def test_a_draining_entry_refuses_streams_it_cannot_finish(
-    client, parts, fleet, run_s, served
+    client, context, fleet, run_s, served
 ):
     # Guards against streams that are aborted midway as the process exits.
-    fleet._take(fakes.a_reply(kind=routes.Kind.STREAM))
-    forwarder = forwarding.Forwarder(fleet, parts)
-    forwarder.ends_at = parts.clock() + 5.0
-    parts.placement.speeds.record_run('engines', run_s, parts.clock())
+    fleet._apply_reply(fakes.a_reply(kind=routes.Kind.STREAM))
+    forwarder = forwarding.Forwarder(fleet, context)
+    forwarder.drain_deadline = context.clock() + 5.0
+    context.placement.speeds.record_run('engines', run_s, context.clock())
     client.scripts = [fakes.Script(events=(1, 2))]
-    call = fakes.a_job(parts, routes.Kind.STREAM).call
+    call = fakes.a_job(context, routes.Kind.STREAM).call
     out = fakes.FakeCaller()
     if served:
         await forwarder.handle(call, out)
@@ -58,8 +58,8 @@
 
 
 async def test_an_older_map_is_ignored(fleet):
-    fleet._take(fakes.a_reply(5))
-    fleet._take(fakes.a_reply(4))
+    fleet._apply_reply(fakes.a_reply(5))
+    fleet._apply_reply(fakes.a_reply(4))
     assert fleet.map_version == 5
 
 
@@ -68,7 +68,7 @@
         messages.ListedEntry(f'e{n}', 'dc', f'10.0.1.{n}:80', n != 3)
         for n in range(1, 5)
     ]
-    fleet._take(
+    fleet._apply_reply(
         fakes.a_reply(
             entries_version='1.1',
             entries=entries,
@@ -76,14 +76,14 @@
             backends=[],
         )
     )
-    fleet._take(messages.WatchReply('done'))
+    fleet._apply_reply(messages.WatchReply('done'))
     assert sorted(fleet.addresses(64)) == [
         '10.0.1.1:80',
         '10.0.1.2:80',
         '10.0.1.4:80',
     ]
     assert len(fleet.addresses(2)) == 2
-    fleet.leave()
+    fleet.start_draining()
     assert '10.0.1.1:80' not in fleet.addresses(64)
 
 
--- a/tests/forwarding/test_poison_requests.py
+++ b/tests/forwarding/test_poison_requests.py
@@ -93,17 +93,17 @@
 
 
 async def test_a_poison_request_is_refused_and_others_are_served(
-    client, parts, fleet
+    client, context, fleet
 ):
     # Guards against losing further engines to a known poison request, and
     # against blocking other requests of its caller.
-    fleet._take(fakes.a_reply())
-    forwarder = forwarding.Forwarder(fleet, parts)
-    call = fakes.a_job(parts, routes.Kind.IDEMPOTENT).call
+    fleet._apply_reply(fakes.a_reply())
+    forwarder = forwarding.Forwarder(fleet, context)
+    call = fakes.a_job(context, routes.Kind.IDEMPOTENT).call
     poison = decisions.fingerprint('/a/x', call.key, b'bad')
-    parts.poison_requests.add_reports(
+    context.poison_requests.add_reports(
         [messages.CrashReport(poison, f'i{n}') for n in range(3)],
-        parts.clock(),
+        context.clock(),
     )
     client.scripts = [fakes.Script()]
     with pytest.raises(errors.RequestError) as caught:
@@ -118,13 +118,13 @@
     assert reply.status == 200
 
 
-async def test_each_engine_lost_by_a_stream_is_reported(client, parts):
+async def test_each_engine_lost_by_a_stream_is_reported(client, context):
     client.scripts = [
         fakes.Script(events=(1,), then='crash'),
         fakes.Script(events=(2,), then='crash'),
         fakes.Script(events=(3,)),
     ]
-    parts.poison_requests.count_losses_near = lambda engine, at, within: 1
-    await fakes.stream(parts)
-    parts.poison_requests.confirm_crashes(parts.clock() + 2.0)
-    assert len(parts.poison_requests.take_pending()) == 2
+    context.poison_requests.count_losses_near = lambda engine, at, within: 1
+    await fakes.stream(context)
+    context.poison_requests.confirm_crashes(context.clock() + 2.0)
+    assert len(context.poison_requests.take_pending()) == 2
--- a/tests/forwarding/test_stall_timeouts.py
+++ b/tests/forwarding/test_stall_timeouts.py
@@ -27,18 +27,18 @@
     ('memory_full', 'min_pause_s'), [(False, 0.05), (True, 0.4)]
 )
 async def test_a_stream_without_a_copy_tolerates_longer_stalls(
-    client, parts, short_timeouts, logged, memory_full, min_pause_s
+    client, context, short_timeouts, logged, memory_full, min_pause_s
 ):
     # Failing over to a copy is cheap; without one, another engine has to read
     # the prompt again, which takes 0.2 s.
-    parts.placement.capacity = {'engines': 30_000}
-    for backend in parts.placement.backends.values():
+    context.placement.capacity = {'engines': 30_000}
+    for backend in context.placement.backends.values():
         backend.memory = 20_000 if memory_full else 0
     client.scripts = [
         fakes.Script(events=(1,), then='silent'),
         fakes.Script(events=(2,)),
     ]
-    out, _ = await fakes.stream(parts, aim_s=4.0, gap_s=0.06)
+    out, _ = await fakes.stream(context, aim_s=4.0, gap_s=0.06)
     assert out.data == fakes.text(1, 2)
     assert bool(client.attempts[0].backup) is not memory_full
     assert min_pause_s <= longest_pause_s(logged) < min_pause_s + 0.3
@@ -48,14 +48,14 @@
     ('queued_tokens', 'retried'), [(0, True), (50_000, False)]
 )
 async def test_a_queued_stream_is_retried_only_where_it_is_served_sooner(
-    client, parts, short_timeouts, monkeypatch, queued_tokens, retried
+    client, context, short_timeouts, monkeypatch, queued_tokens, retried
 ):
     # Guards against moving a queued prompt to an engine with an equal queue.
     addresses = []
 
     async def send(call, attempt):
         addresses.append(attempt.address)
-        for backend in parts.placement.backends.values():
+        for backend in context.placement.backends.values():
             backend.reading = queued_tokens
         if len(addresses) == 1:
             await asyncio.sleep(0.5)
@@ -64,12 +64,12 @@
         )
 
     monkeypatch.setattr(client, 'send', send)
-    await fakes.stream(parts)
+    await fakes.stream(context)
     assert (len(addresses) > 1) is retried
 
 
 async def test_a_paused_entry_reads_buffered_events_before_it_times_out(
-    client, parts, monkeypatch
+    client, context, monkeypatch
 ):
     # Guards against counting a pause of the entry itself as the engine's
     # silence: events wait in the socket, and the stream would be retried.
@@ -88,6 +88,6 @@
         return await original_chunk(self)
 
     monkeypatch.setattr(fakes.FakeAnswer, 'chunk', chunk)
-    out, _ = await fakes.stream(parts, gap_s=0.35)
+    out, _ = await fakes.stream(context, gap_s=0.35)
     assert out.data == fakes.text(1, 2, 3)
     assert len(client.attempts) == 1
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -14,23 +14,23 @@
 from tests.forwarding import fakes
 
 
-async def test_a_complete_stream_is_forwarded(client, parts):
+async def test_a_complete_stream_is_forwarded(client, context):
     client.scripts = [fakes.Script(events=(1, 2, 3))]
-    out, reply = await fakes.stream(parts)
+    out, reply = await fakes.stream(context)
     assert reply is None
     assert out.data == fakes.text(1, 2, 3)
     assert out.ended and not out.aborted
     assert client.attempts[0].backup
 
 
-async def test_a_broken_stream_resumes_in_the_same_answer(client, parts):
+async def test_a_broken_stream_resumes_in_the_same_answer(client, context):
     # Guards against partial events, and against two engines that work on one
     # stream at the same time.
     client.scripts = [
         fakes.Script(events=(1, 2), then='half'),
         fakes.Script(events=(3, 4)),
     ]
-    out, _ = await fakes.stream(parts)
+    out, _ = await fakes.stream(context)
     assert out.data == fakes.text(1, 2, 3, 4)
     assert out.ended
     first, second = client.attempts
@@ -41,13 +41,15 @@
     )
 
 
-async def test_the_final_log_record_contains_latencies(client, parts, logged):
+async def test_the_final_log_record_contains_latencies(
+    client, context, logged
+):
     # Guards against pauses that operators cannot find in the log.
     client.scripts = [
         fakes.Script(events=(1,), then='reset'),
         fakes.Script(events=(2,)),
     ]
-    await fakes.stream(parts)
+    await fakes.stream(context)
     end = logged[-1]
     assert end['decision'] == 'stream whole'
     assert (end['last'], end['lost_runs']) == (2, 1)
@@ -55,14 +57,14 @@
     assert 0 <= end['first_s'] <= end['seconds']
 
 
-async def test_each_stream_logs_one_final_decision(client, parts, logged):
+async def test_each_stream_logs_one_final_decision(client, context, logged):
     # Guards against streams whose outcome is missing from the log.
     async def cancel_stream(connected):
         client.scripts = [fakes.Script(events=(1,), then='silent')]
         out = fakes.FakeCaller()
-        job = fakes.a_job(parts, routes.Kind.STREAM)
+        job = fakes.a_job(context, routes.Kind.STREAM)
         run = asyncio.ensure_future(
-            forwarding.StreamRun(parts, job, out).run()
+            forwarding.StreamForwarder(context, job, out).run()
         )
         await asyncio.sleep(0.02)
         out.connected = connected
@@ -71,19 +73,19 @@
             await run
 
     client.scripts = [fakes.Script(events=(1, 2))]
-    await fakes.stream(parts)
+    await fakes.stream(context)
     client.scripts = [fakes.Script(events=(1,), then='reset')]
-    await fakes.stream(parts, attempts=1)
+    await fakes.stream(context, attempts=1)
     broken = client.attempts[-1].address
     await cancel_stream(False)
     await cancel_stream(True)
-    parts.placement.capacity = {'engines': 5000}
+    context.placement.capacity = {'engines': 5000}
     with pytest.raises(errors.RequestError):
-        await fakes.stream(parts)
-    parts.placement.update([])
-    parts.placement.capacity = {}
+        await fakes.stream(context)
+    context.placement.update([])
+    context.placement.capacity = {}
     with pytest.raises(errors.RequestError):
-        await fakes.stream(parts)
+        await fakes.stream(context)
     final_decisions = (
         'stream whole',
         'stream ended early',
@@ -104,11 +106,13 @@
     assert all(line['seconds'] >= 0 for line in lines)
 
 
-async def test_a_copy_is_used_only_if_it_can_exist(client, parts, monkeypatch):
+async def test_a_copy_is_used_only_if_it_can_exist(
+    client, context, monkeypatch
+):
     # Guards against a refused attempt for a run that failed before its first
     # copy.
     client.scripts = [fakes.Script(error='send'), fakes.Script(events=(1,))]
-    await fakes.stream(parts)
+    await fakes.stream(context)
     assert client.attempts[1].copy is None
     monkeypatch.setattr('bulrushhold.forwarding._streams.COPY_AFTER_S', 0.0)
     client.attempts.clear()
@@ -116,13 +120,13 @@
         fakes.Script(events=(1,), then='reset'),
         fakes.Script(events=(2,)),
     ]
-    await fakes.stream(parts)
+    await fakes.stream(context)
     first, second = client.attempts
     assert second.copy == calls.RunCopy(first.backup)
     assert second.address == first.backup
 
 
-async def test_a_lost_backup_is_replaced(client, parts):
+async def test_a_lost_backup_is_replaced(client, context):
     # Guards against a second prefill if the backup crashes first, and then
     # the engine of the stream.
     client.scripts = [
@@ -130,15 +134,15 @@
         fakes.Script(events=(3,)),
     ]
     original_chunk = fakes.FakeAnswer.chunk
-    parts.placement.record_failure('i5', parts.clock(), unreachable=True)
+    context.placement.record_failure('i5', context.clock(), unreachable=True)
 
     async def slow_chunk(self):
         await asyncio.sleep(0.02)
         if self.left == [2]:
             backup = client.attempts[0].backup
             ident = f'i{backup[7]}'
-            parts.placement.record_failure(
-                ident, parts.clock(), unreachable=True
+            context.placement.record_failure(
+                ident, context.clock(), unreachable=True
             )
         if not self.left and self.script.then == 'reset':
             await asyncio.sleep(0.1)
@@ -149,7 +153,7 @@
         with pytest.MonkeyPatch.context() as patch:
             streams = 'bulrushhold.forwarding._streams'
             patch.setattr(f'{streams}.COPY_AFTER_S', 0.0)
-            out, _ = await fakes.stream(parts)
+            out, _ = await fakes.stream(context)
     finally:
         fakes.FakeAnswer.chunk = original_chunk
     first, second = client.attempts
@@ -160,13 +164,15 @@
     assert out.data == fakes.text(1, 2, 3)
 
 
-async def test_a_copy_is_made_once_memory_is_free(client, parts, monkeypatch):
+async def test_a_copy_is_made_once_memory_is_free(
+    client, context, monkeypatch
+):
     """Guards against a second prefill if no memory was free at the start."""
     streams = 'bulrushhold.forwarding._streams'
     monkeypatch.setattr(f'{streams}.COPY_AFTER_S', 0.0)
     flow = 'bulrushhold.forwarding._engine_stream'
     monkeypatch.setattr(f'{flow}.COPY_RENEWAL_S', 0.05)
-    capacity = parts.placement.capacity
+    capacity = context.placement.capacity
     capacity['engines'] = 9000
     original_chunk = fakes.FakeAnswer.chunk
 
@@ -183,34 +189,34 @@
         fakes.Script(events=(1, 2), then='reset'),
         fakes.Script(events=(3,)),
     ]
-    out, _ = await fakes.stream(parts)
+    out, _ = await fakes.stream(context)
     first, second = client.attempts
     assert not first.backup
     assert second.copy is not None
     assert out.data == fakes.text(1, 2, 3)
-    assert all(not b.memory for b in parts.placement.backends.values())
+    assert all(not b.memory for b in context.placement.backends.values())
 
 
 @pytest.mark.parametrize('then', ['reset', 'crash'])
 async def test_an_engine_is_marked_as_lost_only_if_it_crashed(
-    client, parts, then
+    client, context, then
 ):
     # Guards against ejecting live engines that only lose some connections.
     client.scripts = [
         fakes.Script(events=(1,), then=then),
         fakes.Script(events=(2,)),
     ]
-    out, _ = await fakes.stream(parts)
+    out, _ = await fakes.stream(context)
     assert out.data == fakes.text(1, 2)
     crashed = then == 'crash'
-    lost = parts.placement.load_report('e1', {}, parts.clock()).lost
+    lost = context.placement.load_report('e1', {}, context.clock()).lost
     engine = f'i{client.attempts[0].address[7]}'
     assert lost == ([engine] if crashed else [])
-    assert (parts.placement.backends[engine].ejected_until > 0) is crashed
+    assert (context.placement.backends[engine].ejected_until > 0) is crashed
 
 
 async def test_the_last_copy_is_used_if_its_renewal_fails(
-    client, parts, monkeypatch
+    client, context, monkeypatch
 ):
     # Guards against dropping the last copy if its renewal fails because the
     # engine of the stream is crashing.
@@ -236,11 +242,11 @@
         fakes.Script(events=(1, 2), then='crash'),
         fakes.Script(events=(3,)),
     ]
-    run = asyncio.ensure_future(fakes.stream(parts))
+    run = asyncio.ensure_future(fakes.stream(context))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     backup = f'i{client.attempts[0].backup[7]}'
-    parts.placement.record_failure(backup, parts.clock(), unreachable=True)
+    context.placement.record_failure(backup, context.clock(), unreachable=True)
     out, _ = await run
     assert out.data == fakes.text(1, 2, 3)
     assert client.attempts[1].copy == calls.RunCopy(
@@ -249,78 +255,80 @@
 
 
 async def test_duplicate_events_are_dropped_and_a_gap_fails_the_attempt(
-    client, parts
+    client, context
 ):
     client.scripts = [
         fakes.Script(events=(1, 2), then='reset'),
         fakes.Script(events=(2, 3, 5)),
         fakes.Script(events=(4, 5, 6)),
     ]
-    out, _ = await fakes.stream(parts)
+    out, _ = await fakes.stream(context)
     assert out.data == fakes.text(1, 2, 3, 4, 5, 6)
     assert out.ended
 
 
-async def test_a_stream_without_further_engines_is_aborted(client, parts):
+async def test_a_stream_without_further_engines_is_aborted(client, context):
     client.scripts = [fakes.Script(events=(1,), then='reset')] * 5
     client.scripts = [attrs.evolve(s) for s in client.scripts]
     for script in client.scripts[1:]:
         script.events = ()
-    out, _ = await fakes.stream(parts)
+    out, _ = await fakes.stream(context)
     assert out.data == fakes.text(1)
     assert out.aborted and not out.ended
 
 
 async def test_a_stalled_engine_that_fails_its_probe_is_replaced(
-    client, parts
+    client, context
 ):
     # Guards against long stalls after a power loss, which sends no reset.
     client.scripts = [
         fakes.Script(events=(1,), then='silent'),
         fakes.Script(events=(2,)),
     ]
-    run = asyncio.ensure_future(fakes.stream(parts))
+    run = asyncio.ensure_future(fakes.stream(context))
     await asyncio.sleep(0.01)
     client.dead.add(client.attempts[0].address)
     out, _ = await asyncio.wait_for(run, 0.5)
     assert out.data == fakes.text(1, 2)
 
 
-async def test_a_stream_without_engines_is_refused_as_not_run(client, parts):
-    parts.placement.update([])
+async def test_a_stream_without_engines_is_refused_as_not_run(client, context):
+    context.placement.update([])
     with pytest.raises(errors.RequestError) as caught:
-        await fakes.stream(parts)
+        await fakes.stream(context)
     assert caught.value.status == 503
     assert caught.value.ran is errors.Ran.NO
     assert caught.value.retry_after > 0
 
 
-async def test_a_resuming_caller_gets_the_missing_events(client, parts):
+async def test_a_resuming_caller_gets_the_missing_events(client, context):
     client.scripts = [fakes.Script(events=(8, 9))]
-    out, _ = await fakes.stream(parts, after=7)
+    out, _ = await fakes.stream(context, after=7)
     assert client.attempts[0].after == 7
     assert out.data == fakes.text(8, 9)
 
 
-async def test_a_resuming_caller_is_routed_to_its_cached_prompt(client, parts):
+async def test_a_resuming_caller_is_routed_to_its_cached_prompt(
+    client, context
+):
     # Guards against a second prefill after the loss of all entries, also if
     # one of the engines does not answer the cache lookup.
-    candidates = parts.placement.likely_cache_holders(
-        'engines', 'p', parts.clock()
+    candidates = context.placement.likely_cache_holders(
+        'engines', 'p', context.clock()
     )
     client.dead.add(candidates[0].address)
     client.segments_by_address[candidates[-1].address] = frozenset(
         ['other', 'p']
     )
     client.scripts = [fakes.Script(events=(8, 9))]
-    out, _ = await fakes.stream(parts, after=7)
+    out, _ = await fakes.stream(context, after=7)
     assert client.attempts[0].address == candidates[-1].address
     assert out.data == fakes.text(8, 9)
 
 
-async def test_a_new_caller_causes_no_cache_lookup(client, parts):
+async def test_a_new_caller_causes_no_cache_lookup(client, context):
     client.scripts = [fakes.Script(events=(1,))]
-    await fakes.stream(parts)
+    await fakes.stream(context)
     assert client.segment_lookups == []
 
 
@@ -333,10 +341,10 @@
             events += splitter.feed(data[start : start + size])
         assert [e.event_id for e in events] == [1, 2, 3]
         assert b''.join(e.data for e in events) == data
-        assert not splitter.rest
+        assert not splitter.buffer
 
 
-async def test_an_answer_received_during_a_probe_is_used(client, parts):
+async def test_an_answer_received_during_a_probe_is_used(client, context):
     """Guards against two engines that work on one stream.
 
     The answer's headers arrive while a liveness probe fails.
@@ -344,15 +352,17 @@
     client.scripts = [fakes.Script(events=(1, 2), open_delay_s=0.56)]
     client.probe_delay_s = 0.12
     client.dead = {f'10.0.0.{n}:80' for n in range(6)}
-    out, _ = await fakes.stream(parts, aim_s=3.0)
+    out, _ = await fakes.stream(context, aim_s=3.0)
     assert out.data == fakes.text(1, 2)
     assert len(client.attempts) == 1
 
 
-async def test_an_answer_received_after_cancellation_is_closed(client, parts):
+async def test_an_answer_received_after_cancellation_is_closed(
+    client, context
+):
     """Guards against an engine that runs on for a disconnected caller."""
     client.scripts = [fakes.Script(events=(1,), open_delay_s=0.02)]
-    run = asyncio.ensure_future(fakes.stream(parts))
+    run = asyncio.ensure_future(fakes.stream(context))
     while not client.opened:
         await asyncio.sleep(0)
     run.cancel()
--- a/tests/platform/test_fuzzing.py
+++ b/tests/platform/test_fuzzing.py
@@ -204,7 +204,7 @@
     except errors.BackendError as error:
         assert str(error)
     else:
-        assert out + splitter.rest == b''.join(chunks)
+        assert out + splitter.buffer == b''.join(chunks)
 
 
 @fuzzed
--- a/tests/test_fleet_control.py
+++ b/tests/test_fleet_control.py
@@ -75,7 +75,7 @@
     def start_entry(self, name, contacts):
         placement = decisions.Placement(random.Random(1))
         transport = node.ZmqTransport(str(self.core.address()))
-        entry = forwarding.Fleet(
+        entry = forwarding.FleetView(
             messages.ListedEntry(f'e-{name}', name, '10.0.1.1:80', True),
             contacts,
             transport,
@@ -86,13 +86,14 @@
             decisions.AdmissionController(),
         )
         self.run(name, entry.follow())
-        self.run(name, entry.share())
+        self.run(name, entry.report_load())
         self.transports[name] = transport
         self.entries[name] = entry
 
     def settled(self):
         return all(
-            entry.server == self.relays[name] and entry.count() == 2
+            entry.control_address == self.relays[name]
+            and entry.entry_count() == 2
             for name, entry in self.entries.items()
         )
 
@@ -161,7 +162,7 @@
     assert fleet.entries['b'].placement.backends['i3'].ejected_until
     fleet.put(2)
     await fleet.core.until(lambda: entry.map_version == 2, 1.0)
-    assert entry.count() == 2
+    assert entry.entry_count() == 2
 
 
 async def test_a_new_route_map_reaches_all_data_centres(fleet):
