--- a/src/bulrushhold/calls.py
+++ b/src/bulrushhold/calls.py
@@ -24,8 +24,8 @@
     """
 
     tokens: int
-    output_tokens: int
-    parts: tuple[str, ...] = ()
+    max_output_tokens: int
+    segments: tuple[str, ...] = ()
 
 
 @attrs.frozen
@@ -155,7 +155,7 @@
         """
 
     @abc.abstractmethod
-    async def alive(self, address: str, timeout: float) -> bool:
+    async def probe(self, address: str, timeout: float) -> bool:
         """Return whether an engine answers a liveness probe in time.
 
         A probe takes no slot, and a busy engine answers like an idle one.
@@ -164,7 +164,9 @@
         """
 
     @abc.abstractmethod
-    async def parts_kept(self, address: str, timeout: float) -> frozenset[str]:
+    async def cached_segments(
+        self, address: str, timeout: float
+    ) -> frozenset[str]:
         """Return the names of the prompt segments cached by an engine.
 
         The query slows the engine down a little.
@@ -250,7 +252,7 @@
         """
 
     @abc.abstractmethod
-    def copy_order(self, call: Call, target: str) -> tuple[str, bytes]:
+    def copy_request(self, call: Call, target: str) -> tuple[str, bytes]:
         """Return path and body of a request to copy a run."""
 
     @abc.abstractmethod
@@ -269,11 +271,11 @@
         """Return the path of an engine's liveness probe."""
 
     @abc.abstractmethod
-    def parts_path(self) -> str:
+    def segments_path(self) -> str:
         """Return the path of the list of cached prompt segments."""
 
     @abc.abstractmethod
-    def read_parts(self, body: bytes) -> frozenset[str]:
+    def decode_segments(self, body: bytes) -> frozenset[str]:
         """Return the names of the segments that an engine has cached.
 
         :raises BackendError: if the answer is malformed.
--- a/src/bulrushhold/emulator/_client.py
+++ b/src/bulrushhold/emulator/_client.py
@@ -85,7 +85,7 @@
         attempt: calls.Attempt,
     ) -> _engine.Run | None:
         assert call.prompt is not None
-        segment = call.prompt.parts[-1]
+        segment = call.prompt.segments[-1]
         generated = (
             call.after if attempt.after is None else attempt.after
         ) or 0
@@ -117,7 +117,7 @@
         if not engine.up:
             raise errors.BackendError('refused', step, engine.address)
 
-    async def alive(self, address: str, timeout: float) -> bool:
+    async def probe(self, address: str, timeout: float) -> bool:
         """Return whether an engine is up."""
         engine = self.engines[address]
         if not engine.up and engine.unreachable:
@@ -125,7 +125,9 @@
         await asyncio.sleep(2 * ONE_WAY_DELAY_S)
         return engine.up
 
-    async def parts_kept(self, address: str, timeout: float) -> frozenset[str]:
+    async def cached_segments(
+        self, address: str, timeout: float
+    ) -> frozenset[str]:
         """Return the prompt segments in an engine's prefix cache."""
         engine = self.engines[address]
         await self._connect(engine, 'parts')
--- a/src/bulrushhold/forwarding/_liveness.py
+++ b/src/bulrushhold/forwarding/_liveness.py
@@ -26,7 +26,7 @@
     try:
         for step in range(POLL_STEPS):
             if step in (0, SECOND_PROBE_STEP):
-                probe = client.alive(address, MAX_PROBE_S)
+                probe = client.probe(address, MAX_PROBE_S)
                 probes.add(asyncio.ensure_future(probe))
             finished = await _wait_one_step(probes)
             if any(task.result() for task in finished):
--- a/src/bulrushhold/forwarding/_prompt_cache.py
+++ b/src/bulrushhold/forwarding/_prompt_cache.py
@@ -24,7 +24,7 @@
     )
     answers = await asyncio.gather(
         *(
-            context.client.parts_kept(candidate.address, LOOKUP_TIMEOUT_S)
+            context.client.cached_segments(candidate.address, LOOKUP_TIMEOUT_S)
             for candidate in candidates
         ),
         return_exceptions=True,
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -45,7 +45,7 @@
         # Streams that fail have generated about half of their answer.
         prompt = job.call.prompt
         self.memory = (
-            prompt.tokens + prompt.output_tokens // 2 if prompt else 0
+            prompt.tokens + prompt.max_output_tokens // 2 if prompt else 0
         )
         self.lost_data_centre = ''
         self.interrupted_at: float | None = None
@@ -60,7 +60,7 @@
             job.route.aim_s or job.route.timeout_s,
             job.route.gap_s or job.route.aim_s or job.route.timeout_s,
         )
-        segments = job.call.prompt.parts if job.call.prompt else ()
+        segments = job.call.prompt.segments if job.call.prompt else ()
         self.last_segment = segments[-1] if segments else ''
 
     async def run(self) -> calls.Reply | None:
@@ -329,7 +329,7 @@
         A crashed engine refuses connections. A live one still serves other
         streams and holds copies, and must not be marked as lost.
         """
-        if lost.reset and await self.context.client.alive(
+        if lost.reset and await self.context.client.probe(
             engine.address, _liveness.PROBE_TIMEOUT_S
         ):
             lost.unreachable = False
--- a/src/bulrushhold/web/_backends.py
+++ b/src/bulrushhold/web/_backends.py
@@ -96,7 +96,7 @@
         head = self.dialect.read_head(call, response.status, response.headers)
         return _HttpBackendAnswer(head, response, attempt.address)
 
-    async def alive(self, address: str, timeout: float) -> bool:
+    async def probe(self, address: str, timeout: float) -> bool:
         """Request a model engine's status report as a health check."""
         url = yarl.URL(f'http://{address}{self.dialect.probe_path()}')
         try:
@@ -109,9 +109,11 @@
         except (TimeoutError, *_HTTP_ERRORS):
             return False
 
-    async def parts_kept(self, address: str, timeout: float) -> frozenset[str]:
+    async def cached_segments(
+        self, address: str, timeout: float
+    ) -> frozenset[str]:
         """List cached prompt segments; see :class:`calls.BackendClient`."""
-        url = yarl.URL(f'http://{address}{self.dialect.parts_path()}')
+        url = yarl.URL(f'http://{address}{self.dialect.segments_path()}')
         try:
             async with asyncio.timeout(timeout):
                 async with self.pooled.get(url) as response:
@@ -121,13 +123,13 @@
             raise _to_backend_error(error, 'parts', address) from error
         if status != 200:
             raise errors.BackendError(f'status {status}', 'parts', address)
-        return self.dialect.read_parts(body)
+        return self.dialect.decode_segments(body)
 
     async def copy_run(
         self, call: calls.Call, source: str, target: str, timeout: float
     ) -> calls.RunCopy:
         """Request a copy; see :meth:`calls.BackendClient.copy_run`."""
-        path, body = self.dialect.copy_order(call, target)
+        path, body = self.dialect.copy_request(call, target)
         try:
             async with asyncio.timeout(timeout):
                 async with self.unpooled.post(
--- a/tests/forwarding/fakes.py
+++ b/tests/forwarding/fakes.py
@@ -98,7 +98,7 @@
         self.opened.append(attempt.address)
         return FakeAnswer(self, attempt.address, script)
 
-    async def alive(self, address, timeout):
+    async def probe(self, address, timeout):
         try:
             async with asyncio.timeout(timeout):
                 # Several event loop steps, like reads of a real socket.
@@ -108,7 +108,7 @@
             return False
         return address not in self.dead
 
-    async def parts_kept(self, address, timeout):
+    async def cached_segments(self, address, timeout):
         self.segment_lookups.append(address)
         if address in self.dead:
             raise errors.BackendError('silent', 'parts', address)
--- a/tests/platform/test_fuzzing.py
+++ b/tests/platform/test_fuzzing.py
@@ -152,7 +152,7 @@
 @hypothesis.given(BODY | DEEPLY_NESTED)
 def test_cache_response_is_decoded_or_rejected(body):
     engines = _engines.PlatformEngineDialect()
-    for decode in (engines.read_parts, engines.read_copy):
+    for decode in (engines.decode_segments, engines.read_copy):
         try:
             decode(body)
         except errors.BackendError as error:
@@ -190,7 +190,7 @@
     else:
         assert not math.isnan(call.wait_s) and call.wait_s >= 0
         if call.prompt is not None:
-            assert min(call.prompt.tokens, call.prompt.output_tokens) >= 0
+            assert min(call.prompt.tokens, call.prompt.max_output_tokens) >= 0
 
 
 @fuzzed
--- a/tests/test_backend_connections.py
+++ b/tests/test_backend_connections.py
@@ -24,7 +24,7 @@
     def read_head(self, call, status, headers):
         return calls.AnswerHead(status, (), True, True, False)
 
-    def copy_order(self, call, target):
+    def copy_request(self, call, target):
         return '/copy', b''
 
     def drop_path(self, copy):
@@ -36,10 +36,10 @@
     def probe_path(self):
         return '/report'
 
-    def parts_path(self):
+    def segments_path(self):
         return '/parts'
 
-    def read_parts(self, body):
+    def decode_segments(self, body):
         return frozenset(body.decode().split())
 
 
