--- a/src/bulrushhold/calls.py
+++ b/src/bulrushhold/calls.py
@@ -49,7 +49,7 @@
     headers: Headers
     body: bytes
     wait_s: float
-    after: int | None = None
+    last_event_id: int | None = None
     prompt: Prompt | None = None
 
 
@@ -70,8 +70,8 @@
     address: str
     instance: str
     account: str
-    left_s: float
-    after: int | None = None
+    remaining_s: float
+    last_event_id: int | None = None
     backup: str = ''
     copy: 'RunCopy | None' = None
     fresh: bool = False
@@ -112,8 +112,8 @@
 
     status: int
     headers: Headers
-    own: bool
-    genuine: bool
+    matches_request: bool
+    from_backend: bool
     not_run: bool
     instance: str = ''
     load: BackendLoad | None = None
--- a/src/bulrushhold/emulator/_client.py
+++ b/src/bulrushhold/emulator/_client.py
@@ -87,7 +87,9 @@
         assert call.prompt is not None
         segment = call.prompt.segments[-1]
         generated = (
-            call.after if attempt.after is None else attempt.after
+            call.last_event_id
+            if attempt.last_event_id is None
+            else attempt.last_event_id
         ) or 0
         generated *= engine.profile.tokens_per_event
         tokens = call.prompt.tokens + generated
--- a/src/bulrushhold/forwarding/_engine_stream.py
+++ b/src/bulrushhold/forwarding/_engine_stream.py
@@ -103,14 +103,14 @@
                 sent=False,
                 unreachable=False,
             )
-        if not head.own or not head.genuine:
+        if not head.matches_request or not head.from_backend:
             raise StreamLostError('mismatched answer', unreachable=False)
         if head.status >= 300:
             return await self._failure_reply(answer)
         await self._relay(answer)
         now = self.context.clock()
         self.context.placement.record_success(self.engine.ident, now, None)
-        if self.copy is None and self.stream.job.call.after is None:
+        if self.copy is None and self.stream.job.call.last_event_id is None:
             self.speeds.record_run(
                 self.stream.job.service, now - self.started_at, now
             )
@@ -153,7 +153,7 @@
             self.engine.ident,
             self.stream.job.account,
             self.stream.remaining_s(),
-            after=self.stream.last_event_id,
+            last_event_id=self.stream.last_event_id,
             backup=self.backup.address if self.backup else '',
             copy=self.copy,
             # The engine may close an idle connection at any time, which would
@@ -183,7 +183,7 @@
 
     def _expect_first_event(self) -> None:
         """Record when the first event is expected."""
-        if not self.reading or self.stream.job.call.after is not None:
+        if not self.reading or self.stream.job.call.last_event_id is not None:
             # A resumed prompt may be cached, which would distort the speed.
             return
         now = self.context.clock()
--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -176,7 +176,7 @@
                 return _Result(
                     errors.Ran.NO, f'refused with status {head.status}'
                 )
-            if not head.own or not head.genuine:
+            if not head.matches_request or not head.from_backend:
                 return _Result(errors.Ran.UNKNOWN, 'mismatched answer')
             body = await answer.body()
             return _Result(
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -36,7 +36,7 @@
         self.context = context
         self.job = job
         self.caller_stream = caller_stream
-        self.last_event_id = job.call.after
+        self.last_event_id = job.call.last_event_id
         self.tried: set[str] = set()
         self.lost_runs = 0
         self.backup: decisions.BackendServer | None = None
@@ -129,7 +129,7 @@
                 f'prompt of {self.tokens} tokens exceeds engine memory',
                 TOO_LARGE_RETRY_S,
             )
-        resumes = self.job.call.after is not None
+        resumes = self.job.call.last_event_id is not None
         if resumes and await _prompt_cache.find_cached_prompt(
             self.context, self.job, self.last_segment
         ):
--- a/tests/forwarding/fakes.py
+++ b/tests/forwarding/fakes.py
@@ -158,7 +158,13 @@
 
 
 def a_job(
-    context, kind, wait_s=5.0, after=None, attempts=5, aim_s=0.3, gap_s=0.0
+    context,
+    kind,
+    wait_s=5.0,
+    last_event_id=None,
+    attempts=5,
+    aim_s=0.3,
+    gap_s=0.0,
 ):
     call = calls.Call(
         'req-1',
@@ -169,7 +175,7 @@
         (),
         b'',
         wait_s,
-        after,
+        last_event_id,
         calls.Prompt(8000, 100, ('p',)),
     )
     route = routes.Route(
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -67,5 +67,5 @@
             context, routes.Kind.IDEMPOTENT, wait_s=1.0, attempts=2
         )
     assert caught.value.status == 504
-    assert client.attempts[1].left_s < 0.6
+    assert client.attempts[1].remaining_s < 0.6
     assert len(client.attempts) == 2
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -34,7 +34,7 @@
     assert out.data == fakes.text(1, 2, 3, 4)
     assert out.ended
     first, second = client.attempts
-    assert second.after == 2
+    assert second.last_event_id == 2
     assert second.address != first.address
     assert client.log.index(('close', first.address)) < client.log.index(
         ('send', second.address)
@@ -303,8 +303,8 @@
 
 async def test_a_resuming_caller_gets_the_missing_events(client, context):
     client.scripts = [fakes.Script(events=(8, 9))]
-    out, _ = await fakes.stream(context, after=7)
-    assert client.attempts[0].after == 7
+    out, _ = await fakes.stream(context, last_event_id=7)
+    assert client.attempts[0].last_event_id == 7
     assert out.data == fakes.text(8, 9)
 
 
@@ -321,7 +321,7 @@
         ['other', 'p']
     )
     client.scripts = [fakes.Script(events=(8, 9))]
-    out, _ = await fakes.stream(context, after=7)
+    out, _ = await fakes.stream(context, last_event_id=7)
     assert client.attempts[0].address == candidates[-1].address
     assert out.data == fakes.text(8, 9)
 
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -46,7 +46,7 @@
     assert call.host == 'forms.example'
     assert call.key == 'secret'
     assert call.wait_s == 2.5
-    assert call.after == 12
+    assert call.last_event_id == 12
     assert call.prompt == calls.Prompt(1460, 80, ('5c1e', '91bd'))
 
 
@@ -81,7 +81,7 @@
 def test_attempt_headers_name_deadline_and_instance():
     headers = sent_headers(
         read_call(),
-        after=7,
+        last_event_id=7,
         backup='10.0.0.2:80',
         copy=calls.RunCopy('10.0.0.3:80'),
     )
@@ -113,10 +113,16 @@
 
 def test_response_is_checked_by_id_stamp_and_encoding():
     stamped = read_answer_head(**{'Bulrushhold-Response-Stamp': 's'})
-    assert stamped.own and stamped.genuine and not stamped.not_run
-    assert not read_answer_head(**{'Bulrushhold-Request-Id': 'req-2'}).own
-    assert not read_answer_head(**{'Content-Encoding': 'gzip'}).own
-    assert not read_answer_head().genuine
+    assert (
+        stamped.matches_request
+        and stamped.from_backend
+        and not stamped.not_run
+    )
+    assert not read_answer_head(
+        **{'Bulrushhold-Request-Id': 'req-2'}
+    ).matches_request
+    assert not read_answer_head(**{'Content-Encoding': 'gzip'}).matches_request
+    assert not read_answer_head().from_backend
     assert read_answer_head(503, **{'Bulrushhold-Not-Run': '1'}).not_run
     assert read_answer_head(421).not_run
     assert not read_answer_head(500).not_run
