--- a/src/bulrushhold/calls.py
+++ b/src/bulrushhold/calls.py
@@ -211,7 +211,7 @@
 class CallerStream(abc.ABC):
     """A streamed answer to a caller."""
 
-    begun: bool
+    headers_sent: bool
 
     @property
     @abc.abstractmethod
@@ -219,7 +219,7 @@
         """Whether the caller's connection is open, as far as is known."""
 
     @abc.abstractmethod
-    async def begin(self, status: int, headers: Headers) -> None:
+    async def send_headers(self, status: int, headers: Headers) -> None:
         """Send status and headers of the answer."""
 
     @abc.abstractmethod
@@ -231,7 +231,7 @@
         """Complete the answer."""
 
     @abc.abstractmethod
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort the answer, so that the caller sees it as truncated."""
 
 
--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -87,15 +87,15 @@
 class _Caller(calls.CallerStream):
     def __init__(self, outcome: Outcome) -> None:
         self.outcome = outcome
-        self.begun = False
+        self.headers_sent = False
         self.last_write_at: float | None = None
 
     @property
     def connected(self) -> bool:
         return True
 
-    async def begin(self, status: int, headers: calls.Headers) -> None:
-        self.begun = True
+    async def send_headers(self, status: int, headers: calls.Headers) -> None:
+        self.headers_sent = True
 
     async def write(self, data: bytes) -> None:
         now = emulated_now()
@@ -111,7 +111,7 @@
         self.outcome.completed = True
         self.outcome.completed_at = emulated_now()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         pass
 
 
--- a/src/bulrushhold/forwarding/_engine_stream.py
+++ b/src/bulrushhold/forwarding/_engine_stream.py
@@ -243,8 +243,8 @@
             self._ensure_copy()
         if splitter.buffer:
             raise StreamLostError('incomplete last event', unreachable=False)
-        if not self.stream.caller_stream.begun:
-            await self.stream.caller_stream.begin(
+        if not self.stream.caller_stream.headers_sent:
+            await self.stream.caller_stream.send_headers(
                 answer.head.status, answer.head.headers
             )
         await self.stream.caller_stream.end()
@@ -349,8 +349,10 @@
                 self.stream.last_segment, self.engine.ident, now
             )
         caller_stream = self.stream.caller_stream
-        if not caller_stream.begun:
-            await caller_stream.begin(answer.head.status, answer.head.headers)
+        if not caller_stream.headers_sent:
+            await caller_stream.send_headers(
+                answer.head.status, answer.head.headers
+            )
         self.stream.record_event_sent()
         await caller_stream.write(data)
 
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -216,12 +216,14 @@
         if self.context.budget.take(
             self.job.service,
             self.context.clock(),
-            begun=self.caller_stream.begun,
+            begun=self.caller_stream.headers_sent,
         ):
             return True
         self.context.metrics.count('repeats.refused')
         _context.log(
-            self.job, 'retry budget exhausted', begun=self.caller_stream.begun
+            self.job,
+            'retry budget exhausted',
+            begun=self.caller_stream.headers_sent,
         )
         return False
 
@@ -252,8 +254,8 @@
     def _end_incomplete(self, reason: str, peer: str) -> calls.Reply | None:
         self._log_end('stream ended early', reason=reason, peer=peer)
         self.context.metrics.count('streams.broken')
-        if self.caller_stream.begun:
-            self.caller_stream.cut()
+        if self.caller_stream.headers_sent:
+            self.caller_stream.abort()
             return None
         if self.failure_reply is not None:
             return self.failure_reply
@@ -350,7 +352,7 @@
             self.context.poison_requests.record_crash(
                 self.job.fingerprint, engine.ident, now
             )
-        if self.caller_stream.begun and self.interrupted_at is None:
+        if self.caller_stream.headers_sent and self.interrupted_at is None:
             self.interrupted_at = now
         _context.log(
             self.job,
--- a/src/bulrushhold/web/_ingress.py
+++ b/src/bulrushhold/web/_ingress.py
@@ -31,20 +31,20 @@
         self.request = request
         self.response = web.StreamResponse()
         self.close_connection = close_connection
-        self.begun = False
+        self.headers_sent = False
 
     @property
     def connected(self) -> bool:
         transport = self.request.transport
         return transport is not None and not transport.is_closing()
 
-    async def begin(self, status: int, headers: calls.Headers) -> None:
+    async def send_headers(self, status: int, headers: calls.Headers) -> None:
         self.response.set_status(status)
         self.response.headers.extend(headers)
         self.response.enable_chunked_encoding()
         if self.close_connection:
             self.response.force_close()
-        self.begun = True
+        self.headers_sent = True
         await self.response.prepare(self.request)
 
     async def write(self, data: bytes) -> None:
@@ -53,7 +53,7 @@
     async def end(self) -> None:
         await self.response.write_eof()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         # Flushes written data but omits the final chunk, so that the caller
         # detects the truncated body.
         if self.request.transport is not None:
@@ -121,7 +121,7 @@
                 'internal error', 'entry', ran=errors.Ran.UNKNOWN, status=500
             )
             reply = _error_reply(error, self.dialect.echo(ident))
-        if stream.begun:
+        if stream.headers_sent:
             return stream.response
         assert reply is not None
         response = web.Response(
--- a/tests/forwarding/fakes.py
+++ b/tests/forwarding/fakes.py
@@ -129,14 +129,14 @@
     connected = True
 
     def __init__(self):
-        self.begun = False
+        self.headers_sent = False
         self.data = b''
         self.ended = self.aborted = False
         self.connected = True
         self.headers = ()
 
-    async def begin(self, status, headers):
-        self.begun = True
+    async def send_headers(self, status, headers):
+        self.headers_sent = True
         self.headers = headers
 
     async def write(self, data):
@@ -145,7 +145,7 @@
     async def end(self):
         self.ended = True
 
-    def cut(self):
+    def abort(self):
         self.aborted = True
 
 
