--- a/tests/forwarding/conftest.py
+++ b/tests/forwarding/conftest.py
@@ -39,7 +39,7 @@
 
 
 @pytest.fixture
-def logged():
+def log_records():
     records = []
     sink = loguru.logger.add(lambda line: records.append(line.record['extra']))
     yield records
--- a/tests/forwarding/fakes.py
+++ b/tests/forwarding/fakes.py
@@ -38,7 +38,7 @@
         self.script = script
         self.client = client
         self.address = address
-        self.left = list(script.events)
+        self.remaining_events = list(script.events)
         self.head = calls.AnswerHead(
             script.status,
             (('X-Engine', address),),
@@ -51,8 +51,8 @@
         return await self.next_chunk()
 
     async def next_chunk(self):
-        if self.left:
-            return event(self.left.pop(0))
+        if self.remaining_events:
+            return encode_event(self.remaining_events.pop(0))
         if self.script.then == 'half':
             self.script.then = 'reset'
             return b'id: 99\ndata'
@@ -149,15 +149,15 @@
         self.aborted = True
 
 
-def event(number):
+def encode_event(number):
     return f'id: {number}\ndata: t{number}\n\n'.encode()
 
 
-def text(*numbers):
-    return b''.join(map(event, numbers))
+def encode_events(*numbers):
+    return b''.join(map(encode_event, numbers))
 
 
-def a_job(
+def make_job(
     context,
     kind,
     wait_s=5.0,
@@ -195,16 +195,16 @@
     )
 
 
-async def stream(context, **options):
+async def run_stream(context, **options):
     out = FakeCaller()
-    job = a_job(context, routes.Kind.STREAM, **options)
+    job = make_job(context, routes.Kind.STREAM, **options)
     reply = await forwarding.StreamForwarder(context, job, out).run()
     return out, reply
 
 
-async def plain(context, kind, **options):
+async def run_plain(context, kind, **options):
     return await forwarding.PlainForwarder(
-        context, a_job(context, kind, **options)
+        context, make_job(context, kind, **options)
     ).run()
 
 
@@ -216,7 +216,7 @@
         self.sent.append((address, message))
 
 
-def a_reply(version=1, kind=routes.Kind.IDEMPOTENT, **more):
+def make_reply(version=1, kind=routes.Kind.IDEMPOTENT, **more):
     route_map = routes.RouteMap(
         version,
         [
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -234,7 +234,7 @@
     context.admission.waiting['engines'] = 200
     begun = context.clock()
     with pytest.raises(errors.RequestError) as caught:
-        await fakes.stream(context, wait_s=25.0)
+        await fakes.run_stream(context, wait_s=25.0)
     assert caught.value.status == 503
     assert caught.value.ran is errors.Ran.NO
     assert caught.value.retry_after == 8.0
@@ -251,7 +251,7 @@
         backend.memory = 20_000
     client.scripts = [fakes.Script(events=(1, 2))]
     out = fakes.FakeCaller()
-    job = fakes.a_job(context, routes.Kind.STREAM)
+    job = fakes.make_job(context, routes.Kind.STREAM)
     run = asyncio.ensure_future(
         forwarding.StreamForwarder(context, job, out).run()
     )
@@ -260,7 +260,7 @@
     assert context.admission.waiting['engines'] == 1
     context.placement.backends['i3'].memory = 0
     await run
-    assert out.data == fakes.text(1, 2)
+    assert out.data == fakes.encode_events(1, 2)
     assert context.admission.waiting['engines'] == 0
     # Under overload no copy is made where it would fill an engine.
     assert client.attempts[0].backup == ''
@@ -292,7 +292,7 @@
     context.placement.capacity = {'engines': 5000}
     begun = context.clock()
     with pytest.raises(errors.RequestError) as caught:
-        await fakes.stream(context, wait_s=25.0)
+        await fakes.run_stream(context, wait_s=25.0)
     assert context.clock() - begun < 0.5
     assert caught.value.status == 503
     assert caught.value.ran is errors.Ran.NO
--- a/tests/forwarding/test_fleet.py
+++ b/tests/forwarding/test_fleet.py
@@ -17,16 +17,16 @@
     # Guards against refusals after a cold start, just before the map arrives.
     client.scripts = [fakes.Script()]
     forwarder = forwarding.Forwarder(fleet, context)
-    call = fakes.a_job(context, routes.Kind.IDEMPOTENT).call
+    call = fakes.make_job(context, routes.Kind.IDEMPOTENT).call
     run = asyncio.ensure_future(forwarder.handle(call, fakes.FakeCaller()))
     await asyncio.sleep(0.05)
-    fleet._apply_reply(fakes.a_reply())
+    fleet._apply_reply(fakes.make_reply())
     assert (await run).status == 200
 
 
 async def test_without_a_map_requests_are_refused_as_not_run(context, fleet):
     forwarder = forwarding.Forwarder(fleet, context)
-    call = fakes.a_job(context, routes.Kind.ONCE, wait_s=0.1).call
+    call = fakes.make_job(context, routes.Kind.ONCE, wait_s=0.1).call
     with pytest.raises(errors.RequestError) as caught:
         await forwarder.handle(call, fakes.FakeCaller())
     assert caught.value.status == 503
@@ -38,12 +38,12 @@
     client, context, fleet, run_s, served
 ):
     # Guards against streams that are aborted midway as the process exits.
-    fleet._apply_reply(fakes.a_reply(kind=routes.Kind.STREAM))
+    fleet._apply_reply(fakes.make_reply(kind=routes.Kind.STREAM))
     forwarder = forwarding.Forwarder(fleet, context)
     forwarder.drain_deadline = context.clock() + 5.0
     context.placement.speeds.record_run('engines', run_s, context.clock())
     client.scripts = [fakes.Script(events=(1, 2))]
-    call = fakes.a_job(context, routes.Kind.STREAM).call
+    call = fakes.make_job(context, routes.Kind.STREAM).call
     out = fakes.FakeCaller()
     if served:
         await forwarder.handle(call, out)
@@ -58,8 +58,8 @@
 
 
 async def test_an_older_map_is_ignored(fleet):
-    fleet._apply_reply(fakes.a_reply(5))
-    fleet._apply_reply(fakes.a_reply(4))
+    fleet._apply_reply(fakes.make_reply(5))
+    fleet._apply_reply(fakes.make_reply(4))
     assert fleet.map_version == 5
 
 
@@ -69,7 +69,7 @@
         for n in range(1, 5)
     ]
     fleet._apply_reply(
-        fakes.a_reply(
+        fakes.make_reply(
             entries_version='1.1',
             entries=entries,
             backends_version='1.1',
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -12,7 +12,7 @@
 ):
     client.scripts = [fakes.Script(error='send')]
     with pytest.raises(errors.RequestError) as caught:
-        await fakes.plain(context, routes.Kind.ONCE)
+        await fakes.run_plain(context, routes.Kind.ONCE)
     assert caught.value.status == 502
     assert caught.value.ran is errors.Ran.UNKNOWN
     assert len(client.attempts) == 1
@@ -26,7 +26,7 @@
     client, context, first
 ):
     client.scripts = [first, fakes.Script()]
-    reply = await fakes.plain(context, routes.Kind.ONCE)
+    reply = await fakes.run_plain(context, routes.Kind.ONCE)
     assert reply.body == b'done'
     assert client.attempts[0].address != client.attempts[1].address
     assert all(attempt.fresh for attempt in client.attempts)
@@ -36,13 +36,13 @@
     client, context
 ):
     client.scripts = [fakes.Script(status=500, body=b'broken')]
-    reply = await fakes.plain(context, routes.Kind.ONCE)
+    reply = await fakes.run_plain(context, routes.Kind.ONCE)
     assert (reply.status, reply.body) == (500, b'broken')
 
 
 async def test_a_failed_idempotent_call_is_retried_elsewhere(client, context):
     client.scripts = [fakes.Script(status=500), fakes.Script()]
-    reply = await fakes.plain(context, routes.Kind.IDEMPOTENT)
+    reply = await fakes.run_plain(context, routes.Kind.IDEMPOTENT)
     assert reply.status == 200
 
 
@@ -55,7 +55,7 @@
         fakes.Script(body=b'theirs', **fault),
         fakes.Script(body=b'mine'),
     ]
-    reply = await fakes.plain(context, routes.Kind.IDEMPOTENT)
+    reply = await fakes.run_plain(context, routes.Kind.IDEMPOTENT)
     assert reply.body == b'mine'
 
 
@@ -63,7 +63,7 @@
     # Guards against giving up the last attempt before the deadline.
     client.scripts = [fakes.Script(then='silent'), fakes.Script(then='silent')]
     with pytest.raises(errors.RequestError) as caught:
-        await fakes.plain(
+        await fakes.run_plain(
             context, routes.Kind.IDEMPOTENT, wait_s=1.0, attempts=2
         )
     assert caught.value.status == 504
--- a/tests/forwarding/test_poison_requests.py
+++ b/tests/forwarding/test_poison_requests.py
@@ -97,9 +97,9 @@
 ):
     # Guards against losing further engines to a known poison request, and
     # against blocking other requests of its caller.
-    fleet._apply_reply(fakes.a_reply())
+    fleet._apply_reply(fakes.make_reply())
     forwarder = forwarding.Forwarder(fleet, context)
-    call = fakes.a_job(context, routes.Kind.IDEMPOTENT).call
+    call = fakes.make_job(context, routes.Kind.IDEMPOTENT).call
     poison = decisions.fingerprint('/a/x', call.key, b'bad')
     context.poison_requests.add_reports(
         [messages.CrashReport(poison, f'i{n}') for n in range(3)],
@@ -125,6 +125,6 @@
         fakes.Script(events=(3,)),
     ]
     context.poison_requests.count_losses_near = lambda engine, at, within: 1
-    await fakes.stream(context)
+    await fakes.run_stream(context)
     context.poison_requests.confirm_crashes(context.clock() + 2.0)
     assert len(context.poison_requests.take_pending()) == 2
--- a/tests/forwarding/test_stall_timeouts.py
+++ b/tests/forwarding/test_stall_timeouts.py
@@ -15,10 +15,10 @@
     monkeypatch.setattr('bulrushhold.forwarding._streams.COPY_AFTER_S', 0.0)
 
 
-def longest_pause_s(logged):
+def longest_pause_s(log_records):
     return next(
         line['longest_pause_s']
-        for line in logged
+        for line in log_records
         if line['decision'] == 'stream whole'
     )
 
@@ -27,7 +27,7 @@
     ('memory_full', 'min_pause_s'), [(False, 0.05), (True, 0.4)]
 )
 async def test_a_stream_without_a_copy_tolerates_longer_stalls(
-    client, context, short_timeouts, logged, memory_full, min_pause_s
+    client, context, short_timeouts, log_records, memory_full, min_pause_s
 ):
     # Failing over to a copy is cheap; without one, another engine has to read
     # the prompt again, which takes 0.2 s.
@@ -38,10 +38,10 @@
         fakes.Script(events=(1,), then='silent'),
         fakes.Script(events=(2,)),
     ]
-    out, _ = await fakes.stream(context, aim_s=4.0, gap_s=0.06)
-    assert out.data == fakes.text(1, 2)
+    out, _ = await fakes.run_stream(context, aim_s=4.0, gap_s=0.06)
+    assert out.data == fakes.encode_events(1, 2)
     assert bool(client.attempts[0].backup) is not memory_full
-    assert min_pause_s <= longest_pause_s(logged) < min_pause_s + 0.3
+    assert min_pause_s <= longest_pause_s(log_records) < min_pause_s + 0.3
 
 
 @pytest.mark.parametrize(
@@ -64,7 +64,7 @@
         )
 
     monkeypatch.setattr(client, 'send', send)
-    await fakes.stream(context)
+    await fakes.run_stream(context)
     assert (len(addresses) > 1) is retried
 
 
@@ -81,13 +81,13 @@
     pauses_s = [1.0]
 
     async def chunk(self):
-        if self.left == [3] and pauses_s:
+        if self.remaining_events == [3] and pauses_s:
             # A read that times out loses nothing: the event stays buffered.
             asyncio.get_running_loop().call_soon(time.sleep, pauses_s.pop())
             await asyncio.sleep(0.01)
         return await original_chunk(self)
 
     monkeypatch.setattr(fakes.FakeAnswer, 'chunk', chunk)
-    out, _ = await fakes.stream(context, gap_s=0.35)
-    assert out.data == fakes.text(1, 2, 3)
+    out, _ = await fakes.run_stream(context, gap_s=0.35)
+    assert out.data == fakes.encode_events(1, 2, 3)
     assert len(client.attempts) == 1
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -16,9 +16,9 @@
 
 async def test_a_complete_stream_is_forwarded(client, context):
     client.scripts = [fakes.Script(events=(1, 2, 3))]
-    out, reply = await fakes.stream(context)
+    out, reply = await fakes.run_stream(context)
     assert reply is None
-    assert out.data == fakes.text(1, 2, 3)
+    assert out.data == fakes.encode_events(1, 2, 3)
     assert out.ended and not out.aborted
     assert client.attempts[0].backup
 
@@ -30,8 +30,8 @@
         fakes.Script(events=(1, 2), then='half'),
         fakes.Script(events=(3, 4)),
     ]
-    out, _ = await fakes.stream(context)
-    assert out.data == fakes.text(1, 2, 3, 4)
+    out, _ = await fakes.run_stream(context)
+    assert out.data == fakes.encode_events(1, 2, 3, 4)
     assert out.ended
     first, second = client.attempts
     assert second.last_event_id == 2
@@ -42,27 +42,29 @@
 
 
 async def test_the_final_log_record_contains_latencies(
-    client, context, logged
+    client, context, log_records
 ):
     # Guards against pauses that operators cannot find in the log.
     client.scripts = [
         fakes.Script(events=(1,), then='reset'),
         fakes.Script(events=(2,)),
     ]
-    await fakes.stream(context)
-    end = logged[-1]
+    await fakes.run_stream(context)
+    end = log_records[-1]
     assert end['decision'] == 'stream whole'
     assert (end['last'], end['lost_runs']) == (2, 1)
     assert 0 <= end['longest_pause_s'] <= end['seconds']
     assert 0 <= end['first_s'] <= end['seconds']
 
 
-async def test_each_stream_logs_one_final_decision(client, context, logged):
+async def test_each_stream_logs_one_final_decision(
+    client, context, log_records
+):
     # Guards against streams whose outcome is missing from the log.
     async def cancel_stream(connected):
         client.scripts = [fakes.Script(events=(1,), then='silent')]
         out = fakes.FakeCaller()
-        job = fakes.a_job(context, routes.Kind.STREAM)
+        job = fakes.make_job(context, routes.Kind.STREAM)
         run = asyncio.ensure_future(
             forwarding.StreamForwarder(context, job, out).run()
         )
@@ -73,19 +75,19 @@
             await run
 
     client.scripts = [fakes.Script(events=(1, 2))]
-    await fakes.stream(context)
+    await fakes.run_stream(context)
     client.scripts = [fakes.Script(events=(1,), then='reset')]
-    await fakes.stream(context, attempts=1)
+    await fakes.run_stream(context, attempts=1)
     broken = client.attempts[-1].address
     await cancel_stream(False)
     await cancel_stream(True)
     context.placement.capacity = {'engines': 5000}
     with pytest.raises(errors.RequestError):
-        await fakes.stream(context)
+        await fakes.run_stream(context)
     context.placement.update([])
     context.placement.capacity = {}
     with pytest.raises(errors.RequestError):
-        await fakes.stream(context)
+        await fakes.run_stream(context)
     final_decisions = (
         'stream whole',
         'stream ended early',
@@ -93,7 +95,7 @@
         'stream refused',
     )
     lines = [
-        line for line in logged if line.get('decision') in final_decisions
+        line for line in log_records if line.get('decision') in final_decisions
     ]
     assert [(line['decision'], line.get('reason')) for line in lines] == [
         ('stream whole', None),
@@ -112,7 +114,7 @@
     # Guards against a refused attempt for a run that failed before its first
     # copy.
     client.scripts = [fakes.Script(error='send'), fakes.Script(events=(1,))]
-    await fakes.stream(context)
+    await fakes.run_stream(context)
     assert client.attempts[1].copy is None
     monkeypatch.setattr('bulrushhold.forwarding._streams.COPY_AFTER_S', 0.0)
     client.attempts.clear()
@@ -120,7 +122,7 @@
         fakes.Script(events=(1,), then='reset'),
         fakes.Script(events=(2,)),
     ]
-    await fakes.stream(context)
+    await fakes.run_stream(context)
     first, second = client.attempts
     assert second.copy == calls.RunCopy(first.backup)
     assert second.address == first.backup
@@ -138,13 +140,13 @@
 
     async def slow_chunk(self):
         await asyncio.sleep(0.02)
-        if self.left == [2]:
+        if self.remaining_events == [2]:
             backup = client.attempts[0].backup
             ident = f'i{backup[7]}'
             context.placement.record_failure(
                 ident, context.clock(), unreachable=True
             )
-        if not self.left and self.script.then == 'reset':
+        if not self.remaining_events and self.script.then == 'reset':
             await asyncio.sleep(0.1)
         return await original_chunk(self)
 
@@ -153,7 +155,7 @@
         with pytest.MonkeyPatch.context() as patch:
             streams = 'bulrushhold.forwarding._streams'
             patch.setattr(f'{streams}.COPY_AFTER_S', 0.0)
-            out, _ = await fakes.stream(context)
+            out, _ = await fakes.run_stream(context)
     finally:
         fakes.FakeAnswer.chunk = original_chunk
     first, second = client.attempts
@@ -161,7 +163,7 @@
     assert source == first.address and target != first.backup
     assert second.address == target
     assert second.copy == calls.RunCopy(first.address, 'h1')
-    assert out.data == fakes.text(1, 2, 3)
+    assert out.data == fakes.encode_events(1, 2, 3)
 
 
 async def test_a_copy_is_made_once_memory_is_free(
@@ -178,9 +180,9 @@
 
     async def slow_chunk(self):
         await asyncio.sleep(0.02)
-        if self.left == [2]:
+        if self.remaining_events == [2]:
             capacity['engines'] = 90_000
-        if not self.left and self.script.then == 'reset':
+        if not self.remaining_events and self.script.then == 'reset':
             await asyncio.sleep(0.2)
         return await original_chunk(self)
 
@@ -189,11 +191,11 @@
         fakes.Script(events=(1, 2), then='reset'),
         fakes.Script(events=(3,)),
     ]
-    out, _ = await fakes.stream(context)
+    out, _ = await fakes.run_stream(context)
     first, second = client.attempts
     assert not first.backup
     assert second.copy is not None
-    assert out.data == fakes.text(1, 2, 3)
+    assert out.data == fakes.encode_events(1, 2, 3)
     assert all(not b.memory for b in context.placement.backends.values())
 
 
@@ -206,8 +208,8 @@
         fakes.Script(events=(1,), then=then),
         fakes.Script(events=(2,)),
     ]
-    out, _ = await fakes.stream(context)
-    assert out.data == fakes.text(1, 2)
+    out, _ = await fakes.run_stream(context)
+    assert out.data == fakes.encode_events(1, 2)
     crashed = then == 'crash'
     lost = context.placement.load_report('e1', {}, context.clock()).lost
     engine = f'i{client.attempts[0].address[7]}'
@@ -228,7 +230,7 @@
         return await original_copy_run(call, source, target, timeout)
 
     async def chunk(self):
-        if not self.left and self.script.then == 'crash':
+        if not self.remaining_events and self.script.then == 'crash':
             await asyncio.sleep(0.1)
         return await fakes.FakeAnswer.next_chunk(self)
 
@@ -242,13 +244,13 @@
         fakes.Script(events=(1, 2), then='crash'),
         fakes.Script(events=(3,)),
     ]
-    run = asyncio.ensure_future(fakes.stream(context))
+    run = asyncio.ensure_future(fakes.run_stream(context))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     backup = f'i{client.attempts[0].backup[7]}'
     context.placement.record_failure(backup, context.clock(), unreachable=True)
     out, _ = await run
-    assert out.data == fakes.text(1, 2, 3)
+    assert out.data == fakes.encode_events(1, 2, 3)
     assert client.attempts[1].copy == calls.RunCopy(
         client.attempts[0].address, 'h1'
     )
@@ -262,8 +264,8 @@
         fakes.Script(events=(2, 3, 5)),
         fakes.Script(events=(4, 5, 6)),
     ]
-    out, _ = await fakes.stream(context)
-    assert out.data == fakes.text(1, 2, 3, 4, 5, 6)
+    out, _ = await fakes.run_stream(context)
+    assert out.data == fakes.encode_events(1, 2, 3, 4, 5, 6)
     assert out.ended
 
 
@@ -272,8 +274,8 @@
     client.scripts = [attrs.evolve(s) for s in client.scripts]
     for script in client.scripts[1:]:
         script.events = ()
-    out, _ = await fakes.stream(context)
-    assert out.data == fakes.text(1)
+    out, _ = await fakes.run_stream(context)
+    assert out.data == fakes.encode_events(1)
     assert out.aborted and not out.ended
 
 
@@ -285,17 +287,17 @@
         fakes.Script(events=(1,), then='silent'),
         fakes.Script(events=(2,)),
     ]
-    run = asyncio.ensure_future(fakes.stream(context))
+    run = asyncio.ensure_future(fakes.run_stream(context))
     await asyncio.sleep(0.01)
     client.dead.add(client.attempts[0].address)
     out, _ = await asyncio.wait_for(run, 0.5)
-    assert out.data == fakes.text(1, 2)
+    assert out.data == fakes.encode_events(1, 2)
 
 
 async def test_a_stream_without_engines_is_refused_as_not_run(client, context):
     context.placement.update([])
     with pytest.raises(errors.RequestError) as caught:
-        await fakes.stream(context)
+        await fakes.run_stream(context)
     assert caught.value.status == 503
     assert caught.value.ran is errors.Ran.NO
     assert caught.value.retry_after > 0
@@ -303,9 +305,9 @@
 
 async def test_a_resuming_caller_gets_the_missing_events(client, context):
     client.scripts = [fakes.Script(events=(8, 9))]
-    out, _ = await fakes.stream(context, last_event_id=7)
+    out, _ = await fakes.run_stream(context, last_event_id=7)
     assert client.attempts[0].last_event_id == 7
-    assert out.data == fakes.text(8, 9)
+    assert out.data == fakes.encode_events(8, 9)
 
 
 async def test_a_resuming_caller_is_routed_to_its_cached_prompt(
@@ -321,19 +323,19 @@
         ['other', 'p']
     )
     client.scripts = [fakes.Script(events=(8, 9))]
-    out, _ = await fakes.stream(context, last_event_id=7)
+    out, _ = await fakes.run_stream(context, last_event_id=7)
     assert client.attempts[0].address == candidates[-1].address
-    assert out.data == fakes.text(8, 9)
+    assert out.data == fakes.encode_events(8, 9)
 
 
 async def test_a_new_caller_causes_no_cache_lookup(client, context):
     client.scripts = [fakes.Script(events=(1,))]
-    await fakes.stream(context)
+    await fakes.run_stream(context)
     assert client.segment_lookups == []
 
 
 def test_events_are_reassembled_from_any_chunks():
-    data = fakes.text(1, 2, 3)
+    data = fakes.encode_events(1, 2, 3)
     for size in range(1, len(data)):
         splitter = forwarding.EventSplitter()
         events = []
@@ -352,8 +354,8 @@
     client.scripts = [fakes.Script(events=(1, 2), open_delay_s=0.56)]
     client.probe_delay_s = 0.12
     client.dead = {f'10.0.0.{n}:80' for n in range(6)}
-    out, _ = await fakes.stream(context, aim_s=3.0)
-    assert out.data == fakes.text(1, 2)
+    out, _ = await fakes.run_stream(context, aim_s=3.0)
+    assert out.data == fakes.encode_events(1, 2)
     assert len(client.attempts) == 1
 
 
@@ -362,7 +364,7 @@
 ):
     """Guards against an engine that runs on for a disconnected caller."""
     client.scripts = [fakes.Script(events=(1,), open_delay_s=0.02)]
-    run = asyncio.ensure_future(fakes.stream(context))
+    run = asyncio.ensure_future(fakes.run_stream(context))
     while not client.opened:
         await asyncio.sleep(0)
     run.cancel()
