--- a/src/bulrushhold/composition/_forwarding.py
+++ b/src/bulrushhold/composition/_forwarding.py
@@ -45,7 +45,7 @@
     listeners: list[
         tuple[
             settings.Address,
-            t.Callable[['forwarding.Fleet'], 'web.Application'],
+            t.Callable[['forwarding.FleetView'], 'web.Application'],
         ]
     ]
 
--- a/tests/forwarding/test_stall_timeouts.py
+++ b/tests/forwarding/test_stall_timeouts.py
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def short_timeouts(monkeypatch):
-    monkeypatch.setattr(_engine_stream, 'FIRST_ASK_S', 0.02)
+    monkeypatch.setattr(_engine_stream, 'PROBE_INTERVAL_S', 0.02)
     monkeypatch.setattr('bulrushhold.forwarding._streams.COPY_AFTER_S', 0.0)
 
 
