--- a/src/bulrushhold/client.py
+++ b/src/bulrushhold/client.py
@@ -55,7 +55,7 @@
         self.data_centre = data_centre
         self.deadline_s = deadline_s
         self.entries: list[str] = []
-        self.keep_until = 0.0
+        self.entries_expire_at = 0.0
         self.session = aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=1.0)
         )
@@ -208,13 +208,13 @@
 
     async def _pick_entry(self, failed: set[str], deadline: float) -> str:
         while True:
-            if time.monotonic() >= self.keep_until:
+            if time.monotonic() >= self.entries_expire_at:
                 await self._refresh_entries(failed)
             for entry in self.entries or self.seeds:
                 if entry not in failed:
                     return entry
             failed.clear()
-            self.keep_until = 0.0
+            self.entries_expire_at = 0.0
             if time.monotonic() > deadline:
                 raise errors.RequestError(
                     'no entry could be reached', 'client', retry_after=1.0
@@ -241,7 +241,7 @@
             except _CONNECTION_ERRORS:
                 continue
             self.entries = answer['entries']
-            self.keep_until = time.monotonic() + answer['keep_s']
+            self.entries_expire_at = time.monotonic() + answer['keep_s']
             return
 
 
--- a/src/bulrushhold/composition/_entry.py
+++ b/src/bulrushhold/composition/_entry.py
@@ -39,7 +39,7 @@
         self.store = decisions.CopyStore(
             config.copies.keep_s, time.monotonic()
         )
-        self.copies = entry.CopyWriter(
+        self.copies = entry.TranscriptReplicator(
             config.copies, self.transport, self.metrics
         )
         self.background: set[asyncio.Task[t.Any]] = set()
@@ -65,7 +65,7 @@
             self.router,
             self.membership,
         )
-        keys = entry.KeyTaker(
+        keys = entry.KeyRegistrar(
             config,
             self.transport,
             self.store,
@@ -97,7 +97,7 @@
             quarantine,
             self.metrics,
         )
-        self.streams = entry.Streams(
+        self.streams = entry.GenerationRegistry(
             config, runner, keys, self.copies, self.store
         )
         self.table.changed.append(
@@ -149,7 +149,7 @@
         self.prober.leave()
         loguru.logger.info('draining')
         deadline = time.monotonic() + self.config.drain_deadline_s
-        while self.server.busy and time.monotonic() < deadline:
+        while self.server.in_progress and time.monotonic() < deadline:
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     async def close(self) -> None:
--- a/src/bulrushhold/entry/_admission.py
+++ b/src/bulrushhold/entry/_admission.py
@@ -68,7 +68,7 @@
         self.lease_requests: dict[str, asyncio.Task[None]] = {}
         self.entry_names: list[str] = []
         self.engine_slots = 1
-        self.places = decisions.QuotaShare(self._places_row(), 1)
+        self.engine_quota = decisions.QuotaShare(self._engine_quota_row(), 1)
         transport.handle(messages.QuotaAsk, self._on_quota_ask)
 
     def set_capacity(self, engine_slots: int) -> None:
@@ -78,11 +78,11 @@
             self.entry_names = names
             self.home.homes_changed(self.clock())
         self.engine_slots = engine_slots
-        self.places.row = self._places_row()
-        self.places.entries = max(1, len(names))
-        self._pump()
+        self.engine_quota.row = self._engine_quota_row()
+        self.engine_quota.entries = max(1, len(names))
+        self._grant_slots()
 
-    async def enter(self, row: messages.Row) -> Slot:
+    async def acquire(self, row: messages.Row) -> Slot:
         """Wait for a slot for a generation.
 
         :raises RequestError: immediately, with ``retry_after``, if the
@@ -111,11 +111,11 @@
             True,
             asyncio.get_running_loop().create_future(),
         )
-        if not self.places.has_leased_slots(self.clock()):
-            self._request_lease(self.places)
+        if not self.engine_quota.has_leased_slots(self.clock()):
+            self._request_lease(self.engine_quota)
         self.queue.push(row.key, row.weight, expected, slot)
         share.waiting += 1
-        self._pump()
+        self._grant_slots()
         await self._await_slot(slot, share)
         return slot
 
@@ -154,7 +154,7 @@
         self._share(slot.row).finish(slot.expected, tokens, now)
         if slot.queued:
             self.queue.done(slot.row.key, slot.expected, tokens, now)
-            self._pump()
+            self._grant_slots()
 
     async def sweep(self) -> None:
         """Renew leases in use and start requests that are now allowed."""
@@ -162,15 +162,15 @@
             await asyncio.sleep(SWEEP_INTERVAL_S)
             now = self.clock()
             self.home.drop_expired(now)
-            self._pump()
+            self._grant_slots()
             for key, share in list(self.shares.items()):
                 in_use = share.running or share.waiting
                 if not in_use and now - share.used_at > SHARE_IDLE_S:
                     del self.shares[key]
                 elif in_use:
                     self._renew(share, now)
-            if self.places.running or self.places.waiting:
-                self._renew(self.places, now)
+            if self.engine_quota.running or self.engine_quota.waiting:
+                self._renew(self.engine_quota, now)
 
     def _renew(self, share: decisions.QuotaShare, now: float) -> None:
         if now - share.lease_start > decisions.QUOTA_RENEW_S:
@@ -197,7 +197,7 @@
         finally:
             share.waiting -= 1
 
-    def _places_row(self) -> messages.Row:
+    def _engine_quota_row(self) -> messages.Row:
         """Return a row whose concurrency limit is the engine slots."""
         return messages.Row(
             '', ENGINE_QUOTA_WORK, 1.0, 0.0, self.engine_slots, 1.0, 0, True
@@ -210,9 +210,9 @@
         of the rows in use at each entry. If no home can be reached, they
         are split evenly, which ignores the weights but idles no engine.
         """
-        if self.places.has_leased_slots(now):
-            return max(1, self.places.slots_now(now))
-        return max(1, self.engine_slots // self.places.entries)
+        if self.engine_quota.has_leased_slots(now):
+            return max(1, self.engine_quota.slots_now(now))
+        return max(1, self.engine_slots // self.engine_quota.entries)
 
     def _weight_in_use(self) -> float:
         """Return the sum of the weights of the rows in use here.
@@ -227,17 +227,17 @@
             if share.running or share.waiting:
                 account_share = weights.get(share.row.account, 0.0) / total
                 entry_count = decisions.entries_needed(
-                    account_share, self.places.entries
+                    account_share, self.engine_quota.entries
                 )
                 weight += share.row.weight / entry_count
         return max(weight, 0.001)
 
-    def _pump(self) -> None:
+    def _grant_slots(self) -> None:
         """Grant free slots to the next requests in the fair queue."""
         now = self.clock()
         self.queue.capacity = self._capacity(now)
-        self.places.running = self.queue.running
-        self.places.waiting = self.queue.waiting
+        self.engine_quota.running = self.queue.running
+        self.engine_quota.waiting = self.queue.waiting
 
         def ready(key: str) -> bool:
             share = self.shares.get(key)
@@ -298,7 +298,7 @@
         if not homes:
             return
         want = max(1.0, float(share.running + share.waiting))
-        if share is self.places:
+        if share is self.engine_quota:
             want = self._weight_in_use()
         ask = messages.QuotaAsk(
             share.row.key,
@@ -320,14 +320,14 @@
             self.metrics.count('quota.home_lost')
             return
         share.apply_grant(grant, sent_at)
-        self._pump()
+        self._grant_slots()
 
     async def _on_quota_ask(
         self, ask: messages.QuotaAsk
     ) -> messages.QuotaGrant:
         row = self.rows().get(ask.row)
-        if ask.row == self.places.row.key:
-            row = self.places.row
+        if ask.row == self.engine_quota.row.key:
+            row = self.engine_quota.row
         if row is None:
             return messages.QuotaGrant(0.0, 0, decisions.QUOTA_LEASE_S)
         return self.home.grant(ask, row, self.clock())
--- a/src/bulrushhold/entry/_control.py
+++ b/src/bulrushhold/entry/_control.py
@@ -179,9 +179,9 @@
             self.revision, self.config.name, self.refusals_revision
         )
         reply = await self.control.read(read, READ_TIMEOUT_S * 3)
-        self.take(reply, sent_at)
+        self.apply(reply, sent_at)
 
-    def take(self, reply: messages.TableReply, sent_at: float) -> None:
+    def apply(self, reply: messages.TableReply, sent_at: float) -> None:
         """Apply a leader's reply to a poll sent at ``sent_at``."""
         if reply.revision < self.revision:
             # Possible only if the control log lost committed entries.
--- a/src/bulrushhold/entry/_keys.py
+++ b/src/bulrushhold/entry/_keyregistrar.py
@@ -34,7 +34,7 @@
     former: messages.CopyState | None
 
 
-class KeyTaker:
+class KeyRegistrar:
     """Registers this entry as a key's owner and fetches its transcript."""
 
     def __init__(
--- a/src/bulrushhold/entry/_streams.py
+++ b/src/bulrushhold/entry/_registry.py
@@ -5,9 +5,9 @@
 import typing as t
 
 from bulrushhold import decisions
-from bulrushhold.entry import _copywriter
 from bulrushhold.entry import _generation
-from bulrushhold.entry import _keys
+from bulrushhold.entry import _keyregistrar
+from bulrushhold.entry import _replication
 from bulrushhold.entry import _runner
 from bulrushhold import errors
 from bulrushhold import messages
@@ -16,15 +16,15 @@
 SWEEP_INTERVAL_S: t.Final = 0.5
 
 
-class Streams:
+class GenerationRegistry:
     """Starts, looks up, expires and cancels generations by key."""
 
     def __init__(
         self,
         config: settings.Entry,
         runner: _runner.GenerationRunner,
-        keys: _keys.KeyTaker,
-        copies: _copywriter.CopyWriter,
+        keys: _keyregistrar.KeyRegistrar,
+        copies: _replication.TranscriptReplicator,
         store: decisions.CopyStore,
     ) -> None:
         self.config = config
@@ -171,7 +171,7 @@
             # first bytes of the answer.
             epoch = self.keys.new_epoch()
             self.keys.refresh(key, epoch, epoch, spec.fingerprint)
-            ownership = _keys.KeyOwnership(epoch, epoch, None)
+            ownership = _keyregistrar.KeyOwnership(epoch, epoch, None)
         else:
             ownership = await self.keys.take(key, spec.fingerprint, received)
         generation = _generation.Generation(key, spec, ownership.epoch)
--- a/src/bulrushhold/entry/_copywriter.py
+++ b/src/bulrushhold/entry/_replication.py
@@ -31,7 +31,7 @@
     down_until: float = 0.0
 
 
-class CopyWriter:
+class TranscriptReplicator:
     """Replicates the tokens of all streams, batched per peer.
 
     Each peer has at most one batch in flight, and batches are at least
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -10,9 +10,9 @@
 from bulrushhold import decisions
 from bulrushhold.entry import _admission
 from bulrushhold.entry import _attempts
-from bulrushhold.entry import _copywriter
 from bulrushhold.entry import _generation
 from bulrushhold.entry import _quarantine
+from bulrushhold.entry import _replication
 from bulrushhold import errors
 from bulrushhold import node
 from bulrushhold import ports
@@ -36,7 +36,7 @@
         router: decisions.Router,
         engines: ports.EngineClient,
         policy: decisions.RecoveryPolicy,
-        copies: _copywriter.CopyWriter,
+        copies: _replication.TranscriptReplicator,
         admission: _admission.Admission,
         quarantine: _quarantine.Quarantine,
         metrics: ports.Metrics,
@@ -64,7 +64,7 @@
         initial_length = len(generation.transcript.tokens)
         try:
             generation.lifecycle.trigger('queue')
-            slot = await self.admission.enter(generation.spec.row)
+            slot = await self.admission.acquire(generation.spec.row)
             await self._run(generation, live)
         except errors.RequestError as error:
             if not generation.lifecycle.ended:
--- a/src/bulrushhold/entry/_server.py
+++ b/src/bulrushhold/entry/_server.py
@@ -13,14 +13,14 @@
 
 from bulrushhold import decisions
 from bulrushhold.entry import _admission
-from bulrushhold.entry import _callerstream
 from bulrushhold.entry import _control
+from bulrushhold.entry import _eventstream
 from bulrushhold.entry import _generation
 from bulrushhold.entry import _operators
+from bulrushhold.entry import _platformview
+from bulrushhold.entry import _registry
 from bulrushhold.entry import _requests
 from bulrushhold.entry import _services
-from bulrushhold.entry import _streams
-from bulrushhold.entry import _view
 from bulrushhold import errors
 from bulrushhold import messages
 from bulrushhold import ports
@@ -39,10 +39,10 @@
     def __init__(
         self,
         config: settings.Entry,
-        view: _view.PlatformView,
+        view: _platformview.PlatformView,
         table: _control.TableView,
         control: _control.ControlClient,
-        streams: _streams.Streams,
+        streams: _registry.GenerationRegistry,
         services: _services.ServiceRunner,
         admission: _admission.Admission,
         metrics: ports.Metrics,
@@ -80,7 +80,7 @@
         return app
 
     @property
-    def busy(self) -> int:
+    def in_progress(self) -> int:
         """The number of requests in progress."""
         return self.streams.running + self.calls
 
@@ -244,7 +244,7 @@
             }
         )
         await response.prepare(request)
-        stream = _callerstream.CallerStream(generation, response, received)
+        stream = _eventstream.CallerStream(generation, response, received)
         await stream.run(request.transport)
         return response
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -59,7 +59,7 @@
     return messages.Row(account, work, **values)
 
 
-FIRST_ROWS = [
+INITIAL_ROWS = [
     row(),
     row('planners'),
     row(work='booking/slots', idempotent=False),
@@ -103,7 +103,7 @@
         self._bootstrap_control()
         for name in self.addresses:
             await self.start_entry(name)
-        await self.edit(FIRST_ROWS, 0)
+        await self.edit(INITIAL_ROWS, 0)
 
     def listing(self, leaving=()):
         centres = ('north', 'centre', 'south')
@@ -139,7 +139,7 @@
             ],
         )
 
-    async def relist(self, leaving=()):
+    async def publish_list(self, leaving=()):
         self.platform.platform = self.listing(leaving)
         for entry in self.entries.values():
             await entry.view.poll()
@@ -230,7 +230,9 @@
         any_entry = next(iter(self.entries.values()))
         outcome = await any_entry.control.propose(edit, 5)
         for entry in self.entries.values():
-            await until(lambda e=entry: e.table.revision >= outcome.revision)
+            await wait_until(
+                lambda e=entry: e.table.revision >= outcome.revision
+            )
         return outcome
 
     def client(self, account='vendors', **options):
@@ -271,7 +273,7 @@
             await fake.stop()
 
 
-async def until(condition, seconds=20.0):
+async def wait_until(condition, seconds=20.0):
     """Wait until a condition holds; fail after ``seconds``."""
     deadline = time.monotonic() + seconds
     while not condition():
@@ -306,7 +308,7 @@
     return random.Random(7)
 
 
-def assert_whole(tokens, count):
+def assert_complete(tokens, count):
     """Assert that all tokens are present, in order, of one generation."""
     generation = tokens[0].partition(':')[0]
     assert tokens == [f'{generation}:{n} ' for n in range(count)]
--- a/tests/test_fault_steps.py
+++ b/tests/test_fault_steps.py
@@ -12,7 +12,7 @@
 
 async def wait_for_dispatch(system):
     """Wait until an engine runs the request, and return the engine."""
-    await conftest.until(
+    await conftest.wait_until(
         lambda: any(e.running for e in system.engines.values())
     )
     return next(e for e in system.engines.values() if e.running)
@@ -41,7 +41,7 @@
     engine = await wait_for_dispatch(system)
     run.cancel()
     await asyncio.gather(run, return_exceptions=True)
-    await conftest.until(lambda: not engine.running)
+    await conftest.wait_until(lambda: not engine.running)
     assert engine.generated < COUNT
 
 
@@ -51,11 +51,11 @@
     system = await make_system(entries=2, gap_s=0.3)
     run = start_reading(system)
     await wait_for_dispatch(system)
-    entry = system.entries[generations.serving(system)]
+    entry = system.entries[generations.serving_entry(system)]
     draining = asyncio.ensure_future(entry.drain())
     await asyncio.sleep(0.05)
     speed_up(system)
-    conftest.assert_whole(await run, COUNT)
+    conftest.assert_complete(await run, COUNT)
     await draining
 
 
@@ -71,7 +71,7 @@
         draining.append(asyncio.ensure_future(entry.drain()))
 
     tokens = await generations.read(system.client(), COUNT, on={LAST: drain})
-    conftest.assert_whole(tokens, COUNT)
+    conftest.assert_complete(tokens, COUNT)
     await asyncio.gather(*draining)
 
 
@@ -82,10 +82,10 @@
     system = await make_system(gap_s=0.3)
     run = start_reading(system)
     engine = await wait_for_dispatch(system)
-    await system.relist(leaving=[engine.name])
+    await system.publish_list(leaving=[engine.name])
     speed_up(system)
     tokens = await run
-    conftest.assert_whole(tokens, COUNT)
+    conftest.assert_complete(tokens, COUNT)
     assert tokens[0].startswith(engine.name)
     assert sum(e.requests for e in system.engines.values()) == 1
 
@@ -99,9 +99,9 @@
     engine = await wait_for_dispatch(system)
     speed_up(system)
     await engine.crash()
-    await system.kill_entry(generations.serving(system))
+    await system.kill_entry(generations.serving_entry(system))
     tokens = await run
-    conftest.assert_whole(tokens, COUNT)
+    conftest.assert_complete(tokens, COUNT)
     assert not tokens[0].startswith(engine.name)
 
 
@@ -116,7 +116,7 @@
             await system.kill_entry(running[0])
 
     tokens = await generations.read(system.client(), COUNT, on={LAST: kill})
-    conftest.assert_whole(tokens, COUNT)
+    conftest.assert_complete(tokens, COUNT)
 
 
 async def test_a_model_without_engines_is_refused_as_not_run(
@@ -124,7 +124,7 @@
 ):
     system = await make_system(engines=1)
     system.engines.clear()
-    await system.relist()
+    await system.publish_list()
     status, _, answer = await system.post(
         '/v1/chat/completions',
         json.dumps({'model': 'small', 'messages': conftest.PROMPT}),
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -29,7 +29,7 @@
 
 async def test_an_answer_is_complete(system):
     tokens = await read(system.client())
-    conftest.assert_whole(tokens, 40)
+    conftest.assert_complete(tokens, 40)
 
 
 async def test_an_engine_killed_mid_stream_is_continued_elsewhere(system):
@@ -38,7 +38,7 @@
         await engine_of(system, tokens).crash()
 
     tokens = await read(system.client(), on={10: kill})
-    conftest.assert_whole(tokens, 40)
+    conftest.assert_complete(tokens, 40)
     assert sum(e.requests for e in system.engines.values()) == 2
 
 
@@ -58,7 +58,7 @@
         first[0].thaw()
 
     tokens = await read(system.client(), on={10: freeze, 20: thaw})
-    conftest.assert_whole(tokens, 40)
+    conftest.assert_complete(tokens, 40)
 
 
 async def test_a_stream_without_its_end_mark_is_continued(system):
@@ -73,7 +73,7 @@
                 engine.drop_end_mark = False
 
     tokens = await read(system.client(), on={1: restore_end_mark})
-    conftest.assert_whole(tokens, 40)
+    conftest.assert_complete(tokens, 40)
 
 
 async def test_a_reply_for_another_request_is_dropped(system):
@@ -82,7 +82,7 @@
     faulty_engine.crossed = True
     for _ in range(4):
         tokens = await read(system.client(), 5)
-        conftest.assert_whole(tokens, 5)
+        conftest.assert_complete(tokens, 5)
         assert tokens[0].startswith('m2-')
 
 
@@ -95,7 +95,7 @@
     async def kill(tokens):
         await engine_of(system, tokens).crash()
         system.engines.clear()
-        await system.relist()
+        await system.publish_list()
 
     with pytest.raises(errors.RequestError) as caught:
         await read(system.client(), on={10: kill})
@@ -127,7 +127,7 @@
         )
 
     tokens = await read(system.client(), 60, on={5: send_poison_request})
-    conftest.assert_whole(tokens, 60)
+    conftest.assert_complete(tokens, 60)
     with pytest.raises(errors.RequestError):
         await poison_requests[0]
 
@@ -152,10 +152,10 @@
     caller = system.client()
 
     async def stop_entry(tokens):
-        await system.kill_entry(serving(system))
+        await system.kill_entry(serving_entry(system))
 
     tokens = await read(caller, on={10: stop_entry})
-    conftest.assert_whole(tokens, 40)
+    conftest.assert_complete(tokens, 40)
 
 
 async def test_takeover_of_an_answer_longer_than_the_copy_retention(
@@ -165,13 +165,13 @@
     system = await make_system(entries=3, gap_s=0.02, copies={'keep_s': 0.4})
 
     async def stop_entry(tokens):
-        await system.kill_entry(serving(system))
+        await system.kill_entry(serving_entry(system))
 
     tokens = await read(system.client(), 90, on={80: stop_entry})
-    conftest.assert_whole(tokens, 90)
+    conftest.assert_complete(tokens, 90)
 
 
-def serving(system):
+def serving_entry(system):
     """Return the name of the entry with the running generation."""
     return next(
         name for name, entry in system.entries.items() if entry.streams.running
@@ -192,15 +192,15 @@
     first = asyncio.ensure_future(
         system.post('/v1/chat/completions', body, 'e1', **headers)
     )
-    await conftest.until(lambda: system.entries['e1'].streams.running)
+    await conftest.wait_until(lambda: system.entries['e1'].streams.running)
     generation = system.entries['e1'].streams.generations['vendors/k']
-    await conftest.until(lambda: generation.visible >= 5)
+    await conftest.wait_until(lambda: generation.visible >= 5)
     status, _, answer = await system.post(
         '/v1/chat/completions', body, 'e2', **headers
     )
     assert status == 200
     text = answer['choices'][0]['message']['content']
-    conftest.assert_whole([f'{part} ' for part in text.split()], 40)
+    conftest.assert_complete([f'{part} ' for part in text.split()], 40)
     status, _, refusal = await first
     assert status == 409
     assert refusal['error']['step'] == 'fenced'
@@ -232,7 +232,7 @@
         break
     await stream.aclose()
     engine = system.engines['m1']
-    await conftest.until(lambda: not engine.running)
+    await conftest.wait_until(lambda: not engine.running)
     assert engine.generated < 1000
     (generation,) = system.entries['e1'].streams.generations.values()
     assert generation.lifecycle.state == 'cancelled'
@@ -244,10 +244,10 @@
 
     async def leave(tokens):
         served.append(tokens[0].partition('-')[0])
-        await system.relist(leaving=served)
+        await system.publish_list(leaving=served)
 
     tokens = await read(system.client(), on={3: leave})
-    conftest.assert_whole(tokens, 40)
+    conftest.assert_complete(tokens, 40)
     for number in range(6):
         prompt = [{'role': 'user', 'content': f'prompt {number}'}]
         later = await read(system.client(), 2, prompt)
@@ -264,7 +264,7 @@
     leaving.leaving = True
     for number in range(12):
         prompt = [{'role': 'user', 'content': f'prompt {number}'}]
-        conftest.assert_whole(await read(system.client(), 2, prompt), 2)
+        conftest.assert_complete(await read(system.client(), 2, prompt), 2)
     assert leaving.requests <= 1
 
 
@@ -281,7 +281,7 @@
     await system.engines['m1'].crash()
     await first.control.propose(messages.Suspected([content]), 5)
     second = system.entries['e2']
-    await conftest.until(lambda: content in second.table.suspects)
+    await conftest.wait_until(lambda: content in second.table.suspects)
     await system.kill_entry('e1')
     with pytest.raises(errors.RequestError) as caught:
         await read(system.client(), prompt=prompt)
@@ -308,7 +308,7 @@
     draining = []
 
     async def drain(tokens):
-        entry = system.entries[serving(system)]
+        entry = system.entries[serving_entry(system)]
         draining.append(asyncio.ensure_future(entry.drain()))
         await asyncio.sleep(0)
         status, _, answer = await system.post(
@@ -323,7 +323,7 @@
         assert str(system.addresses[other][0]) in answer['error']['reason']
 
     tokens = await read(system.client(), on={5: drain})
-    conftest.assert_whole(tokens, 40)
+    conftest.assert_complete(tokens, 40)
     await draining[0]
 
 
@@ -337,7 +337,7 @@
     for number in range(12):
         prompt = [{'role': 'user', 'content': f'prompt {number}'}]
         tokens = await read(system.client(), 5, prompt)
-        conftest.assert_whole(tokens, 5)
+        conftest.assert_complete(tokens, 5)
         assert tokens[0].startswith('m2-')
     assert system.engines['m1'].requests >= 1
 
@@ -357,7 +357,7 @@
 
     steps = {20: set_gap(0.012), 40: set_gap(0.025), 60: set_gap(0.05)}
     tokens = await read(system.client(), 80, on=steps)
-    conftest.assert_whole(tokens, 80)
+    conftest.assert_complete(tokens, 80)
     assert sum(e.requests for e in system.engines.values()) == 1
 
 
@@ -366,25 +366,25 @@
     system = await make_system(entries=3)
 
     async def kill_peers(tokens):
-        own = serving(system)
+        own = serving_entry(system)
         for name in [n for n in system.entries if n != own]:
             await system.kill_entry(name)
 
     tokens = await read(system.client(), on={10: kill_peers})
-    conftest.assert_whole(tokens, 40)
+    conftest.assert_complete(tokens, 40)
 
 
 async def test_an_entry_killed_before_the_first_token(make_system):
     # Without a copy, another entry must start the text again.
     system = await make_system(entries=3, gap_s=0.3)
     reading = asyncio.ensure_future(read(system.client(), 4))
-    await conftest.until(
+    await conftest.wait_until(
         lambda: any(e.requests for e in system.engines.values())
     )
     for engine in system.engines.values():
         engine.gap_s = 0.005
-    await system.kill_entry(serving(system))
-    conftest.assert_whole(await reading, 4)
+    await system.kill_entry(serving_entry(system))
+    conftest.assert_complete(await reading, 4)
 
 
 async def test_a_stalled_engine_is_not_mistaken_for_a_lost_entry(make_system):
@@ -400,7 +400,7 @@
         asyncio.get_running_loop().call_later(2.0, engine.thaw)
 
     tokens = await read(system.client(), 20, on={5: pause})
-    conftest.assert_whole(tokens, 20)
+    conftest.assert_complete(tokens, 20)
     assert engine.requests == 1
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -114,12 +114,12 @@
         conftest.row('light'),
         conftest.row('heavy', weight=3.0),
     )
-    await system.edit([*conftest.FIRST_ROWS, light_row, heavy_row], 1)
+    await system.edit([*conftest.INITIAL_ROWS, light_row, heavy_row], 1)
     callers = []
     for name, account in (('e1', 'light'), ('e2', 'heavy')):
         caller = system.client(account)
         caller.entries = [str(system.addresses[name][0])]
-        caller.keep_until = float('inf')
+        caller.entries_expire_at = float('inf')
         callers += [
             asyncio.ensure_future(read_forever(caller, f'{account} {n}'))
             for n in range(40)
@@ -130,7 +130,7 @@
         light_capacity, heavy_capacity = (queue.capacity for queue in queues)
         return 2.2 < heavy_capacity / light_capacity < 3.8
 
-    await conftest.until(in_proportion)
+    await conftest.wait_until(in_proportion)
     for caller in callers:
         caller.cancel()
     await asyncio.gather(*callers, return_exceptions=True)
@@ -211,7 +211,7 @@
 
 async def make_limited_system(make_system, **cells):
     system = await make_system(entries=3)
-    rows = [*conftest.FIRST_ROWS[1:], conftest.row(**cells)]
+    rows = [*conftest.INITIAL_ROWS[1:], conftest.row(**cells)]
     await system.edit(rows, 1)
     return system
 
@@ -233,7 +233,7 @@
     clients = [system.client(deadline_s=30.0) for _ in range(9)]
     for number, caller in enumerate(clients):
         caller.entries = [str(system.addresses[f'e{number % 3 + 1}'][0])]
-        caller.keep_until = float('inf')
+        caller.entries_expire_at = float('inf')
     answers = await asyncio.gather(
         *(read(c, 10, f'prompt {n}') for n, c in enumerate(clients)),
         return_exceptions=True,
@@ -265,12 +265,12 @@
     system = await make_system(gap_s=0.05)
     entry = system.entries['e1']
     entry.admission.engine_slots = 1
-    entry.admission.places.row = entry.admission._places_row()
+    entry.admission.engine_quota.row = entry.admission._engine_quota_row()
     generations = [
         asyncio.ensure_future(read(system.client(), 40, f'draft {n}'))
         for n in range(5)
     ]
-    await conftest.until(lambda: entry.admission.queue.waiting >= 3)
+    await conftest.wait_until(lambda: entry.admission.queue.waiting >= 3)
     answer = await system.client().call('booking', 'availability')
     assert answer.status == 200
     assert entry.admission.queue.waiting >= 3
@@ -354,10 +354,10 @@
     # event loop iteration in which it gets the slot.
     admission = system.entries['e1'].admission
     admission.queue.running = admission.queue.capacity
-    waiting = asyncio.ensure_future(admission.enter(conftest.row()))
-    await conftest.until(lambda: admission.queue.waiting == 1)
+    waiting = asyncio.ensure_future(admission.acquire(conftest.row()))
+    await conftest.wait_until(lambda: admission.queue.waiting == 1)
     admission.queue.running = 0
-    admission._pump()
+    admission._grant_slots()
     waiting.cancel()
     await asyncio.gather(waiting, return_exceptions=True)
     assert admission.queue.running == 0
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -168,6 +168,6 @@
     other = system.entries['e2']
     assert 'e1' in {entry.name for entry in other.view.listed()}
     await leaving.drain()
-    await conftest.until(
+    await conftest.wait_until(
         lambda: 'e1' not in {e.name for e in other.view.listed()}
     )
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -38,7 +38,7 @@
             tokens.append(token)
             if len(tokens) == at:
                 await asyncio.to_thread(act, tokens)
-    conftest.assert_whole(tokens, COUNT)
+    conftest.assert_complete(tokens, COUNT)
 
 
 def engine_of(tokens):
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -130,7 +130,7 @@
     system.booking.delay_s = 30.0
     name = key()
     first = start_booking(system, name)
-    await conftest.until(lambda: system.booking.runs)
+    await conftest.wait_until(lambda: system.booking.runs)
     await system.kill_entry('e1')
     error = await resend(system, name)
     assert (error.status, error.ran) == (409, errors.Ran.UNKNOWN)
@@ -167,7 +167,7 @@
     # The outcome is recorded in the background; the caller must not wait.
     system.booking.delay_s = 0.2
     booking = asyncio.ensure_future(book(system))
-    await conftest.until(lambda: system.booking.runs)
+    await conftest.wait_until(lambda: system.booking.runs)
     await system.stop_control()
     answer = await booking
     assert answer.status == 200
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -185,7 +185,7 @@
 
 
 async def wait_for_leader(system):
-    await conftest.until(
+    await conftest.wait_until(
         lambda: system.control.replica.committed_in_term
         and system.control.replica.applied == system.control.replica.commit
     )
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -200,7 +200,7 @@
     # A lagging replica may reply with an older table.
     table = system.entries['e1'].table
     old = messages.TableReply('done', revision=0, whole=True)
-    table.take(old, 0.0)
+    table.apply(old, 0.0)
     assert table.revision == 1
     assert table.rows
 
@@ -211,7 +211,7 @@
     system = await make_system(options={'table_lease_s': 0.1})
     await system.stop_control()
     entry = system.entries['e1']
-    await conftest.until(lambda: not entry.table.in_force())
+    await conftest.wait_until(lambda: not entry.table.in_force())
     status, _, answer = await system.post(
         '/v1/chat/completions',
         '{"model": "small", "messages": [{"role": "user"}]}',
