--- a/src/bulrushhold/composition/_relay.py
+++ b/src/bulrushhold/composition/_relay.py
@@ -45,7 +45,7 @@
             self.transport, peer, contacts, appoints=appoints
         )
         self.fleet = control.FleetRelay(self.relay, data_centre, link_mbps)
-        self.calls = self.relay.calls
+        self.leader_client = self.relay.leader_client
 
     async def run(
         self, operators: settings.Address | None, app: 'web.Application'
--- a/src/bulrushhold/control/__init__.py
+++ b/src/bulrushhold/control/__init__.py
@@ -1,8 +1,8 @@
 """The control process, which keeps a replica of the durable state."""
 
-from bulrushhold.control._calls import LeaderCalls
 from bulrushhold.control._fleetcontrol import FleetControl
 from bulrushhold.control._fleetcontrol import FleetRelay
+from bulrushhold.control._leaderclient import LeaderClient
 from bulrushhold.control._registry import EntryRegistry
 from bulrushhold.control._relay import Relay
 from bulrushhold.control._server import ControlServer
@@ -14,7 +14,7 @@
     'EntryRegistry',
     'FleetControl',
     'FleetRelay',
-    'LeaderCalls',
+    'LeaderClient',
     'Relay',
     'found',
     'open_replica',
--- a/src/bulrushhold/control/_fleetcontrol.py
+++ b/src/bulrushhold/control/_fleetcontrol.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from bulrushhold.control import _calls
 from bulrushhold.control import _follower
 from bulrushhold.control import _leader
+from bulrushhold.control import _leaderclient
 from bulrushhold.control import _news
 from bulrushhold.control import _relay
 from bulrushhold.control import _server
@@ -54,9 +54,9 @@
         self.watch.attach_hooks.append(self._announce)
 
     @property
-    def calls(self) -> _calls.LeaderCalls:
+    def leader_client(self) -> _leaderclient.LeaderClient:
         """The client for requests that only the leader answers."""
-        return self.leader.calls
+        return self.leader.leader_client
 
     async def run(self) -> None:
         """Serve until cancelled."""
--- a/src/bulrushhold/control/_leader.py
+++ b/src/bulrushhold/control/_leader.py
@@ -6,7 +6,7 @@
 
 import loguru
 
-from bulrushhold.control import _calls
+from bulrushhold.control import _leaderclient
 from bulrushhold.control import _news
 from bulrushhold.control import _registry
 from bulrushhold.control import _server
@@ -48,7 +48,7 @@
         self.registry = _registry.EntryRegistry()
         self.nodes: dict[str, tuple[messages.ControlNode, float]] = {}
         self.backends_revision = 0
-        self.calls = _calls.LeaderCalls(
+        self.leader_client = _leaderclient.LeaderClient(
             server.transport,
             server.replica.leader_address,
             self._handle_locally,
--- a/src/bulrushhold/control/_calls.py
+++ b/src/bulrushhold/control/_leaderclient.py
@@ -15,7 +15,7 @@
 RETRY_INTERVAL_S: t.Final = 0.1
 
 
-class LeaderCalls:
+class LeaderClient:
     """Sends requests to the current leader and retries until a timeout.
 
     :param leader: returns the leader's address, or ``''``.
--- a/src/bulrushhold/control/_relay.py
+++ b/src/bulrushhold/control/_relay.py
@@ -9,7 +9,7 @@
 import contextlib
 import typing as t
 
-from bulrushhold.control import _calls
+from bulrushhold.control import _leaderclient
 from bulrushhold import errors
 from bulrushhold import messages
 from bulrushhold import node
@@ -51,7 +51,7 @@
         self.join_candidates: dict[str, str] = {}
         self.bootstrap_address = ''
         self.first_join_at: float | None = None
-        self.calls = _calls.LeaderCalls(
+        self.leader_client = _leaderclient.LeaderClient(
             transport, lambda: self.leader, self._never_local
         )
         transport.handle(messages.JoinRequest, self._on_join)
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -113,8 +113,8 @@
     core.start(name, peer, contacts=[contact], founds=True)
     await core.until(lambda: core.voters() == ['a', 'b', 'c'])
     put = messages.RouteMapPut(7, b'packed', b'source')
-    assert (await relay.calls.put_map(put)).version == 7
-    assert (await relay.calls.read_map()).source == b'source'
+    assert (await relay.leader_client.put_map(put)).version == 7
+    assert (await relay.leader_client.read_map()).source == b'source'
     assert not relay.appoints
     relay_task.cancel()
     await transport.close()
