--- a/src/bulrushhold/control/_fleetcontrol.py
+++ b/src/bulrushhold/control/_fleetcontrol.py
@@ -2,10 +2,10 @@
 
 import asyncio
 
+from bulrushhold.control import _clusterview
 from bulrushhold.control import _follower
 from bulrushhold.control import _leader
 from bulrushhold.control import _leaderclient
-from bulrushhold.control import _news
 from bulrushhold.control import _relay
 from bulrushhold.control import _server
 from bulrushhold.control import _watch
@@ -31,7 +31,7 @@
         local_node = messages.ControlNode(
             str(server.config.peer), data_centre, True, link_mbps
         )
-        self.view = _news.ClusterView(server.clock)
+        self.view = _clusterview.ClusterView(server.clock)
         self.leader = _leader.LeaderPublisher(
             server, local_node, self.view, source, lambda: self.watch.entries()
         )
@@ -81,7 +81,7 @@
         local_node = messages.ControlNode(
             relay.peer, data_centre, False, link_mbps
         )
-        self.view = _news.ClusterView(relay.clock)
+        self.view = _clusterview.ClusterView(relay.clock)
         self.follower = _follower.LeaderFollower(
             relay.transport,
             local_node,
--- a/src/bulrushhold/control/_follower.py
+++ b/src/bulrushhold/control/_follower.py
@@ -6,7 +6,7 @@
 
 import loguru
 
-from bulrushhold.control import _news
+from bulrushhold.control import _clusterview
 from bulrushhold import errors
 from bulrushhold import messages
 from bulrushhold import ports
@@ -33,7 +33,7 @@
         self,
         transport: ports.Transport,
         local_node: messages.ControlNode,
-        view: _news.ClusterView,
+        view: _clusterview.ClusterView,
         leader: cabc.Callable[[], str],
         entries: cabc.Callable[[], list[messages.ListedEntry]],
         clock: cabc.Callable[[], float],
--- a/src/bulrushhold/control/_leader.py
+++ b/src/bulrushhold/control/_leader.py
@@ -6,8 +6,8 @@
 
 import loguru
 
+from bulrushhold.control import _clusterview
 from bulrushhold.control import _leaderclient
-from bulrushhold.control import _news
 from bulrushhold.control import _registry
 from bulrushhold.control import _server
 from bulrushhold import decisions
@@ -36,7 +36,7 @@
         self,
         server: _server.ControlServer,
         local_node: messages.ControlNode,
-        view: _news.ClusterView,
+        view: _clusterview.ClusterView,
         source: ports.BackendList,
         local_entries: cabc.Callable[[], list[messages.ListedEntry]],
     ) -> None:
--- a/src/bulrushhold/control/_watch.py
+++ b/src/bulrushhold/control/_watch.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from bulrushhold.control import _news
+from bulrushhold.control import _clusterview
 from bulrushhold.control import _registry
 from bulrushhold import decisions
 from bulrushhold import messages
@@ -45,7 +45,7 @@
         self,
         transport: ports.Transport,
         local_node: messages.ControlNode,
-        view: _news.ClusterView,
+        view: _clusterview.ClusterView,
         has_leader_contact: cabc.Callable[[], bool],
         leader: cabc.Callable[[], str],
         clock: cabc.Callable[[], float],
