--- a/bench/control.py
+++ b/bench/control.py
@@ -125,7 +125,7 @@
             'c1', 'north', address, folder, {'c1': address}
         )
         store = node.FileLog(folder)
-        control.found(config, store)
+        control.bootstrap(config, store)
         store.load(messages.Config())
         state = decisions.ReplicatedState()
         items = []
--- a/src/bulrushhold/cli.py
+++ b/src/bulrushhold/cli.py
@@ -93,7 +93,7 @@
     from bulrushhold import node
 
     config = settings.load(path, settings.Control)
-    click.echo(control.found(config, node.FileLog(config.data_dir)))
+    click.echo(control.bootstrap(config, node.FileLog(config.data_dir)))
 
 
 @main.group('settings')
--- a/src/bulrushhold/composition/_relay.py
+++ b/src/bulrushhold/composition/_relay.py
@@ -32,7 +32,7 @@
         data_centre: str,
         contacts: list[str],
         *,
-        appoints: bool,
+        bootstraps: bool,
         link_mbps: float = 0.0,
     ) -> None:
         from bulrushhold import control
@@ -42,7 +42,7 @@
         self.contacts = contacts
         self.transport = node.ZmqTransport(peer)
         self.relay = control.Relay(
-            self.transport, peer, contacts, appoints=appoints
+            self.transport, peer, contacts, bootstraps=bootstraps
         )
         self.fleet = control.FleetRelay(self.relay, data_centre, link_mbps)
         self.leader_client = self.relay.leader_client
--- a/src/bulrushhold/control/__init__.py
+++ b/src/bulrushhold/control/__init__.py
@@ -5,8 +5,8 @@
 from bulrushhold.control._leaderclient import LeaderClient
 from bulrushhold.control._registry import EntryRegistry
 from bulrushhold.control._relay import Relay
+from bulrushhold.control._server import bootstrap
 from bulrushhold.control._server import ControlServer
-from bulrushhold.control._server import found
 from bulrushhold.control._server import open_replica
 
 __all__ = [
@@ -16,6 +16,6 @@
     'FleetRelay',
     'LeaderClient',
     'Relay',
-    'found',
+    'bootstrap',
     'open_replica',
 ]
--- a/src/bulrushhold/control/_relay.py
+++ b/src/bulrushhold/control/_relay.py
@@ -38,13 +38,13 @@
         peer: str,
         contacts: list[str],
         *,
-        appoints: bool,
+        bootstraps: bool,
         clock: cabc.Callable[[], float] = node.boot_time,
     ) -> None:
         self.transport = transport
         self.peer = peer
         self.contacts = contacts
-        self.appoints = appoints
+        self.bootstraps = bootstraps
         self.clock = clock
         self.leader = ''
         self.core: list[str] = []
@@ -94,7 +94,7 @@
         if leader != self.leader:
             node.log_decision('leader found', peer=leader)
         self.leader = leader
-        self.appoints = False
+        self.bootstraps = False
 
     def _bootstrap_log(self) -> None:
         """Order the replica with the lowest address to bootstrap the log.
@@ -102,7 +102,7 @@
         Only one replica is ever chosen: a second log would accept writes
         that are lost once the other log is used.
         """
-        if not self.appoints or self.first_join_at is None:
+        if not self.bootstraps or self.first_join_at is None:
             return
         if self.clock() - self.first_join_at < BOOTSTRAP_DELAY_S:
             return
--- a/src/bulrushhold/control/_server.py
+++ b/src/bulrushhold/control/_server.py
@@ -439,7 +439,7 @@
     return store.load(identity.founding), identity.replica
 
 
-def found(config: settings.Control, store: node.FileLog) -> str:
+def bootstrap(config: settings.Control, store: node.FileLog) -> str:
     """Bootstrap a new log with the configured replicas as its voters.
 
     :raises StorageError: if the data folder is already in use.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -154,7 +154,7 @@
             heartbeat_s=0.01,
             election_s=0.03,
         )
-        control.found(config, node.FileLog(config.data_dir))
+        control.bootstrap(config, node.FileLog(config.data_dir))
         self.control_config = config
         self._run_control()
 
--- a/tests/cores.py
+++ b/tests/cores.py
@@ -39,7 +39,7 @@
         store = node.FileLog(config.data_dir)
         (self.folder / name).mkdir(exist_ok=True)
         if replicas and store.identity() is None:
-            control.found(config, store)
+            control.bootstrap(config, store)
         durable, ident = control.open_replica(config, store)
         replica = decisions.Replica(
             ident, durable, TIMING, random.Random(name), node.boot_time()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -352,7 +352,7 @@
         heartbeat_s=0.02,
         election_s=0.06,
     )
-    control.found(config, node.FileLog(tmp_path))
+    control.bootstrap(config, node.FileLog(tmp_path))
     servers = []
 
     class Attached(composition.Attachment):
--- a/tests/test_fleet_control.py
+++ b/tests/test_fleet_control.py
@@ -65,7 +65,7 @@
     def start_relay(self, name, contacts):
         address = str(self.core.address())
         transport = node.ZmqTransport(address)
-        relay = control.Relay(transport, address, contacts, appoints=False)
+        relay = control.Relay(transport, address, contacts, bootstraps=False)
         fleet = control.FleetRelay(relay, name)
         self.run(f'relay-{name}', relay.run())
         self.run(f'relay-{name}', fleet.run())
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -97,7 +97,7 @@
     )
     address = str(core.address())
     transport = node.ZmqTransport(address)
-    relay = control.Relay(transport, address, [address], appoints=True)
+    relay = control.Relay(transport, address, [address], bootstraps=True)
     relay_task = asyncio.ensure_future(relay.run())
     contact = settings.Address(*_split(address))
     servers = [
@@ -115,7 +115,7 @@
     put = messages.RouteMapPut(7, b'packed', b'source')
     assert (await relay.leader_client.put_map(put)).version == 7
     assert (await relay.leader_client.read_map()).source == b'source'
-    assert not relay.appoints
+    assert not relay.bootstraps
     relay_task.cancel()
     await transport.close()
 
@@ -134,7 +134,7 @@
         core.start(name, peer, peers, contacts=[address])
     transport = node.ZmqTransport(str(address))
     relay = control.Relay(
-        transport, str(address), [str(address)], appoints=False
+        transport, str(address), [str(address)], bootstraps=False
     )
     fleet = control.FleetRelay(relay, 'dc')
     relay_task = asyncio.ensure_future(relay.run())
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -133,7 +133,7 @@
         'c1', 'north', address, str(store.folder), {'c1': address}
     )
     with pytest.raises(errors.StorageError, match='already belongs'):
-        control.found(config, store)
+        control.bootstrap(config, store)
 
 
 def test_an_empty_folder_gets_a_new_identity(tmp_path):
