--- a/src/bulrushhold/control/_leader.py
+++ b/src/bulrushhold/control/_leader.py
@@ -55,7 +55,7 @@
         )
         server.applied_hooks.append(self._update_route_map)
         server.transport.handle(messages.NodeWatch, self._on_node_watch)
-        server.transport.handle(messages.RouteMapRead, self._on_read)
+        server.transport.handle(messages.RouteMapRead, self._on_route_map_read)
 
     async def run(self) -> None:
         """Poll the backend list and expire entries while leading."""
@@ -78,7 +78,7 @@
         return self.server.clock()
 
     def _update_view(self, now: float) -> None:
-        self.registry.lead(self.server.replica.term, now)
+        self.registry.begin_term(self.server.replica.term, now)
         self._update_route_map()
         self.registry.refresh_source(
             self.local_node.address, self.local_entries(), now
@@ -148,7 +148,7 @@
 
     def _update_node(self, watch: messages.NodeWatch) -> None:
         now = self._now()
-        self.registry.lead(self.server.replica.term, now)
+        self.registry.begin_term(self.server.replica.term, now)
         self.nodes[watch.node.address] = (watch.node, now)
         self.registry.refresh_source(watch.node.address, watch.entries, now)
         self._update_members(now)
@@ -180,7 +180,7 @@
 
     # The operator's route map
 
-    async def _on_read(
+    async def _on_route_map_read(
         self, read: messages.RouteMapRead
     ) -> messages.RouteMapReply:
         del read
@@ -201,4 +201,4 @@
             return None
         if isinstance(request, messages.Proposal):
             return await self.server.propose(request.command)
-        return await self._on_read(messages.RouteMapRead())
+        return await self._on_route_map_read(messages.RouteMapRead())
--- a/src/bulrushhold/control/_registry.py
+++ b/src/bulrushhold/control/_registry.py
@@ -36,7 +36,7 @@
         self.term_started_at = 0.0
         self.term = 0
 
-    def lead(self, term: int, now: float) -> None:
+    def begin_term(self, term: int, now: float) -> None:
         """Clear the registry if ``term`` is a new one."""
         if term != self.term:
             self.term = term
@@ -44,7 +44,7 @@
             self.records.clear()
             self.revision = 0
 
-    def hear(
+    def refresh(
         self, entry: messages.ListedEntry, now: float, source: str = ''
     ) -> bool:
         """Record a heartbeat; return whether the entry is new or changed.
@@ -66,7 +66,7 @@
         now: float,
     ) -> bool:
         """Record all entries of a control process; return if any changed."""
-        changes = [self.hear(entry, now, source) for entry in entries]
+        changes = [self.refresh(entry, now, source) for entry in entries]
         names = {entry.name for entry in entries}
         removed = [
             name
--- a/src/bulrushhold/control/_watch.py
+++ b/src/bulrushhold/control/_watch.py
@@ -82,7 +82,7 @@
     # Entries
 
     async def _on_watch(self, watch: messages.Watch) -> messages.WatchReply:
-        if self.registry.hear(watch.entry, self.clock()):
+        if self.registry.refresh(watch.entry, self.clock()):
             self._schedule_attach_hooks()
         if self.has_leader_contact():
             await self.view.wait(
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -299,7 +299,7 @@
     server.put_route_map(3)
     reply = await call
     assert reply.status == 'not_leader' and reply.route_map is None
-    read = await fleet.leader._on_read(messages.RouteMapRead())
+    read = await fleet.leader._on_route_map_read(messages.RouteMapRead())
     assert read.status == 'not_leader' and not read.source
 
 
@@ -323,16 +323,16 @@
 
 def test_registry_expires_entries_and_a_new_leader_waits():
     registry = control.EntryRegistry()
-    registry.lead(1, 0.0)
+    registry.begin_term(1, 0.0)
     entry = messages.ListedEntry('e1', 'dc', '10.0.1.1:80', True)
-    assert registry.hear(entry, 0.1)
-    assert not registry.hear(entry, 0.5)
+    assert registry.refresh(entry, 0.1)
+    assert not registry.refresh(entry, 0.5)
     assert registry.version(0.6) == ''
     assert registry.version(1.6) == '1.1'
-    assert registry.hear(attrs.evolve(entry, ready=False), 1.6)
+    assert registry.refresh(attrs.evolve(entry, ready=False), 1.6)
     assert registry.expire(2.5) == []
     assert registry.expire(2.7) == ['e1']
-    registry.lead(2, 3.0)
+    registry.begin_term(2, 3.0)
     assert registry.version(3.1) == ''
 
 
