--- a/src/bulrushhold/control/_server.py
+++ b/src/bulrushhold/control/_server.py
@@ -78,7 +78,7 @@
         self.pending_proposals: dict[int, _PendingProposal] = {}
         self.applied_revisions: dict[str, tuple[int, float]] = {}
         self.entries_since_snapshot = 0
-        self.work = asyncio.Event()
+        self.wakeup = asyncio.Event()
         self.next_join = 0.0
         self.next_claim_expiry = 0.0
         for kind in _REPLICA_MESSAGES:
@@ -105,8 +105,8 @@
             # arrives together with the result.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self._seconds_to_wakeup()):
-                    await self.work.wait()
-            self.work.clear()
+                    await self.wakeup.wait()
+            self.wakeup.clear()
             if self.bootstrapped:
                 return
 
@@ -262,7 +262,7 @@
                 voters=sorted(config.voters),
                 learners=sorted(config.learners),
             )
-            self.work.set()
+            self.wakeup.set()
 
     def _has_too_few_voters(self) -> bool:
         return len(self.replica.config.voters) < self.config.voters
@@ -286,7 +286,7 @@
         self.store.write_identity(identity)
         node.log_decision('log bootstrapped', replica=self.replica.ident)
         self.bootstrapped = True
-        self.work.set()
+        self.wakeup.set()
 
     async def _on_join_reply(self, reply: messages.JoinReply) -> None:
         self.reported_config = reply.config
@@ -302,7 +302,7 @@
 
     async def _on_replica_message(self, message: messages.Message) -> None:
         self.replica.receive(message, self.clock())
-        self.work.set()
+        self.wakeup.set()
 
     async def _on_proposal(
         self, proposal: messages.Proposal
@@ -323,7 +323,7 @@
             asyncio.get_running_loop().create_future()
         )
         self.pending_proposals[index] = _PendingProposal(term, future)
-        self.work.set()
+        self.wakeup.set()
         try:
             async with asyncio.timeout(PROPOSAL_TIMEOUT_S):
                 result = await future
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -376,7 +376,7 @@
 
     monkeypatch.setattr(node.FileLog, 'save', disk_full)
     servers[-1].replica.propose(command)
-    servers[-1].work.set()
+    servers[-1].wakeup.set()
     await asyncio.sleep(0.7)
     assert not run.done()
     monkeypatch.setattr(node.FileLog, 'save', original)
--- a/tests/test_fleet_control.py
+++ b/tests/test_fleet_control.py
@@ -55,7 +55,7 @@
         packed = messages.pack_map(route_map)
         command = messages.RouteMapPut(version, packed, b'source')
         self.core.leader().replica.propose(messages.encode(command))
-        self.core.leader().work.set()
+        self.core.leader().wakeup.set()
 
     def run(self, name, coroutine):
         self.tasks.setdefault(name, []).append(
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -196,7 +196,7 @@
 ):
     # asyncio.wait_for of Python 3.11 may swallow a cancellation that arrives
     # together with the result; the process would never stop.
-    system.control.work.set()
+    system.control.wakeup.set()
     system.control_task.cancel()
     await asyncio.wait([system.control_task], timeout=2.0)
     assert system.control_task.cancelled()
