--- a/src/bulrushhold/node/__init__.py
+++ b/src/bulrushhold/node/__init__.py
@@ -5,8 +5,8 @@
 from bulrushhold.node._filelog import Identity
 from bulrushhold.node._logs import configure as configure_logs
 from bulrushhold.node._logs import decision as log_decision
-from bulrushhold.node._served import make as make_prometheus_metrics
-from bulrushhold.node._served import ServedMetrics
+from bulrushhold.node._prometheus import make as make_prometheus_metrics
+from bulrushhold.node._prometheus import PrometheusMetrics
 from bulrushhold.node._statsd import make as make_metrics
 from bulrushhold.node._statsd import NoMetrics
 from bulrushhold.node._zmqtransport import ZmqTransport
@@ -15,7 +15,7 @@
     'FileLog',
     'Identity',
     'NoMetrics',
-    'ServedMetrics',
+    'PrometheusMetrics',
     'ZmqTransport',
     'boot_time',
     'configure_logs',
--- a/src/bulrushhold/node/_served.py
+++ b/src/bulrushhold/node/_prometheus.py
@@ -11,7 +11,7 @@
 _INVALID_CHARACTERS = re.compile('[^a-zA-Z0-9_]')
 
 
-class ServedMetrics(ports.Metrics):
+class PrometheusMetrics(ports.Metrics):
     """Collects metrics in this process for Prometheus to scrape.
 
     :param prefix: prepended to every metric name.
@@ -65,6 +65,6 @@
         return f'{self.prefix}_{_INVALID_CHARACTERS.sub("_", name)}'
 
 
-def make(prefix: str) -> ServedMetrics:
+def make(prefix: str) -> PrometheusMetrics:
     """Return metrics for Prometheus."""
-    return ServedMetrics(prefix)
+    return PrometheusMetrics(prefix)
--- a/src/bulrushhold/web/_metrics.py
+++ b/src/bulrushhold/web/_metrics.py
@@ -7,7 +7,7 @@
 METRICS_PATH = '/metrics'
 
 
-def metrics_application(metrics: node.ServedMetrics) -> web.Application:
+def metrics_application(metrics: node.PrometheusMetrics) -> web.Application:
     """Return the application with the Prometheus metrics endpoint."""
 
     async def handle_metrics(request: web.Request) -> web.Response:
