--- a/bench/resume.py
+++ b/bench/resume.py
@@ -174,7 +174,7 @@
                     received_at.append(last_event_at[0])
                 return not event.finish
 
-            request = ports.Generate(
+            request = ports.GenerationRequest(
                 f'r{number}', attempt, 'small', make_prompt(number), [],
                 tokens, 0, 10.0,
             )  # fmt: skip
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -213,7 +213,7 @@
         spec = generation.spec
         state = attempt.state
         address = state.server.address
-        engine_request = ports.Generate(
+        engine_request = ports.GenerationRequest(
             generation.key,
             attempt.number,
             spec.model,
--- a/src/bulrushhold/entry/_server.py
+++ b/src/bulrushhold/entry/_server.py
@@ -266,7 +266,7 @@
         self._check_accepting()
         row = self._find_row(request, f'{service}/{path.partition("/")[0]}')
         key = _requests.read_key(request.headers)
-        call = ports.ServiceCall(
+        call = ports.ServiceRequest(
             request=str(uuid_utils.uuid4()),
             method=request.method,
             path=f'/{path}',
@@ -297,9 +297,9 @@
         self,
         service: str,
         row: messages.Row,
-        call: ports.ServiceCall,
+        call: ports.ServiceRequest,
         key: str,
-    ) -> ports.ServiceAnswer:
+    ) -> ports.ServiceResponse:
         if not key:
             raise _requests.bad_request(
                 f'header {_requests.KEY_HEADER} is needed: this call is '
--- a/src/bulrushhold/entry/_services.py
+++ b/src/bulrushhold/entry/_services.py
@@ -41,8 +41,8 @@
         self.records: set[asyncio.Task[bool]] = set()
 
     async def call_idempotent(
-        self, service: str, row: messages.Row, call: ports.ServiceCall
-    ) -> ports.ServiceAnswer:
+        self, service: str, row: messages.Row, call: ports.ServiceRequest
+    ) -> ports.ServiceResponse:
         """Make an idempotent call, retrying on other servers.
 
         :raises RequestError: if every try failed or the deadline passed.
@@ -74,9 +74,9 @@
         self,
         service: str,
         row: messages.Row,
-        call: ports.ServiceCall,
+        call: ports.ServiceRequest,
         key: str,
-    ) -> ports.ServiceAnswer:
+    ) -> ports.ServiceResponse:
         """Make a call at most once, under a claim on its key.
 
         :raises RequestError: with ``ran`` saying whether the call was
@@ -115,10 +115,10 @@
 
     def _replay_outcome(
         self, outcome: messages.ClaimOutcome
-    ) -> ports.ServiceAnswer:
+    ) -> ports.ServiceResponse:
         """Answer a repeated key with the recorded outcome."""
         if outcome.state == 'done' and outcome.ran == 'yes':
-            return ports.ServiceAnswer(
+            return ports.ServiceResponse(
                 outcome.status, outcome.body, 'application/json'
             )
         reasons = {
@@ -141,9 +141,9 @@
         self,
         service: str,
         row: messages.Row,
-        call: ports.ServiceCall,
+        call: ports.ServiceRequest,
         claim: messages.Claim,
-    ) -> ports.ServiceAnswer:
+    ) -> ports.ServiceResponse:
         tried: set[str] = set()
         end = time.monotonic() + row.deadline_s
         while len(tried) < MAX_TRIES and time.monotonic() < end:
@@ -187,7 +187,7 @@
         raise refusal
 
     async def _record_outcome(
-        self, claim: messages.Claim, answer: ports.ServiceAnswer
+        self, claim: messages.Claim, answer: ports.ServiceResponse
     ) -> None:
         """Record an outcome, waiting only briefly.
 
@@ -225,7 +225,7 @@
         self,
         service: str,
         row: messages.Row,
-        call: ports.ServiceCall,
+        call: ports.ServiceRequest,
         tried: set[str],
     ) -> decisions.BackendState | None:
         choice = self.router.choose_service(
@@ -245,8 +245,8 @@
         return state
 
     async def _call(
-        self, state: decisions.BackendState, call: ports.ServiceCall
-    ) -> ports.ServiceAnswer:
+        self, state: decisions.BackendState, call: ports.ServiceRequest
+    ) -> ports.ServiceResponse:
         state.own_requests += 1
         started = time.monotonic()
         try:
--- a/src/bulrushhold/ports.py
+++ b/src/bulrushhold/ports.py
@@ -58,7 +58,7 @@
 
 
 @attrs.frozen
-class Generate:
+class GenerationRequest:
     """A request to an engine to generate tokens.
 
     :param prefix: tokens already delivered, which the engine continues.
@@ -76,7 +76,7 @@
 
 
 @attrs.frozen
-class LoadReport:
+class EngineLoadReport:
     """The load that an engine reports in its response.
 
     :param running: requests that it runs, from all entries.
@@ -93,14 +93,14 @@
     :param reports: newest load report by address; the reader removes it.
     """
 
-    reports: dict[str, LoadReport]
+    reports: dict[str, EngineLoadReport]
 
     @abc.abstractmethod
     async def run(
         self,
         address: str,
-        order: Generate,
-        take: cabc.Callable[[Event], bool],
+        generation: GenerationRequest,
+        on_event: cabc.Callable[[Event], bool],
     ) -> None:
         """Pass each event to ``on_event`` until that returns ``False``.
 
@@ -124,7 +124,7 @@
 
 
 @attrs.frozen
-class ServiceCall:
+class ServiceRequest:
     """A request to a plain service."""
 
     request: str
@@ -137,7 +137,7 @@
 
 
 @attrs.frozen
-class ServiceAnswer:
+class ServiceResponse:
     """The complete response of a plain service."""
 
     status: int
@@ -149,7 +149,9 @@
     """HTTP client for plain services."""
 
     @abc.abstractmethod
-    async def call(self, address: str, call: ServiceCall) -> ServiceAnswer:
+    async def call(
+        self, address: str, call: ServiceRequest
+    ) -> ServiceResponse:
         """Send a request without any retry.
 
         :raises BackendError: its ``step`` is ``connect`` only if no byte of
--- a/src/bulrushhold/web/_engine.py
+++ b/src/bulrushhold/web/_engine.py
@@ -43,23 +43,23 @@
         self.timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=CONNECT_TIMEOUT_S
         )
-        self.reports: dict[str, ports.LoadReport] = {}
+        self.reports: dict[str, ports.EngineLoadReport] = {}
 
     async def run(
         self,
         address: str,
-        order: ports.Generate,
-        take: cabc.Callable[[ports.Event], bool],
+        generation: ports.GenerationRequest,
+        on_event: cabc.Callable[[ports.Event], bool],
     ) -> None:
         """Pass events to ``on_event`` until it returns ``False``."""
-        response = await self._send_request(address, order)
+        response = await self._send_request(address, generation)
         read_chunk = response.content.readany
         pending = b''
         try:
             while chunk := await read_chunk():
                 *lines, pending = (pending + chunk).split(b'\n')
                 for line in lines:
-                    if line.startswith(_DATA_PREFIX) and not take(
+                    if line.startswith(_DATA_PREFIX) and not on_event(
                         _EVENT_DECODER.decode(line[len(_DATA_PREFIX) :])
                     ):
                         return
@@ -108,12 +108,12 @@
         return True
 
     async def _send_request(
-        self, address: str, order: ports.Generate
+        self, address: str, generation: ports.GenerationRequest
     ) -> aiohttp.ClientResponse:
         try:
             response = await self.session.post(
                 f'http://{address}/v1/chat/completions',
-                data=_REQUEST_ENCODER.encode(order),
+                data=_REQUEST_ENCODER.encode(generation),
                 headers={'Content-Type': 'application/json'},
                 timeout=self.timeout,
             )
@@ -127,7 +127,7 @@
             ) from error
         running = response.headers.get(RUNNING_HEADER, '')
         if running.isdigit():
-            self.reports[address] = ports.LoadReport(
+            self.reports[address] = ports.EngineLoadReport(
                 int(running), LEAVING_HEADER in response.headers
             )
         if response.status != 200:
--- a/src/bulrushhold/web/_service.py
+++ b/src/bulrushhold/web/_service.py
@@ -20,8 +20,8 @@
         self.session = session
 
     async def call(
-        self, address: str, call: ports.ServiceCall
-    ) -> ports.ServiceAnswer:
+        self, address: str, call: ports.ServiceRequest
+    ) -> ports.ServiceResponse:
         """Send one request and return its response."""
         url = f'http://{address}{call.path}'
         if call.query:
@@ -63,8 +63,8 @@
 
 
 async def _read_response(
-    response: aiohttp.ClientResponse, call: ports.ServiceCall, address: str
-) -> ports.ServiceAnswer:
+    response: aiohttp.ClientResponse, call: ports.ServiceRequest, address: str
+) -> ports.ServiceResponse:
     response_id = response.headers.get(REQUEST_HEADER, '')
     if response_id != call.request:
         response.close()
@@ -79,7 +79,7 @@
         raise errors.BackendError(
             'response body is too large', 'call', address
         )
-    return ports.ServiceAnswer(
+    return ports.ServiceResponse(
         response.status,
         body,
         response.headers.get('Content-Type', 'application/octet-stream'),
