--- a/src/bulrushhold/composition/__init__.py
+++ b/src/bulrushhold/composition/__init__.py
@@ -4,7 +4,7 @@
 HTTP stack and stays within its memory budget.
 """
 
-from bulrushhold.composition._background import in_background
+from bulrushhold.composition._background import start_background_task
 from bulrushhold.composition._control import Attachment
 from bulrushhold.composition._control import run_control
 from bulrushhold.composition._entry import EntryProcess
@@ -20,8 +20,8 @@
     'ForwardingAdapters',
     'ForwardingEntry',
     'RelayProcess',
-    'in_background',
     'run_control',
     'run_entry',
     'run_forwarding',
+    'start_background_task',
 ]
--- a/src/bulrushhold/composition/_background.py
+++ b/src/bulrushhold/composition/_background.py
@@ -7,7 +7,7 @@
 import loguru
 
 
-def in_background(
+def start_background_task(
     coroutine: t.Coroutine[t.Any, t.Any, t.Any],
 ) -> asyncio.Task[t.Any]:
     """Start a background task that logs an exception if it fails."""
--- a/src/bulrushhold/composition/_forwarding.py
+++ b/src/bulrushhold/composition/_forwarding.py
@@ -110,12 +110,14 @@
         self.ingress = adapters.Ingress(
             self.forwarder.handle, self.adapters.caller_dialect
         )
-        self.follow_task = _background.in_background(self.fleet.follow())
+        self.follow_task = _background.start_background_task(
+            self.fleet.follow()
+        )
         self.background.append(
-            _background.in_background(self.fleet.poll_backend_list())
+            _background.start_background_task(self.fleet.poll_backend_list())
         )
         self.background.append(
-            _background.in_background(self.fleet.report_load())
+            _background.start_background_task(self.fleet.report_load())
         )
         await self.ingress.start(config.callers.host, config.callers.port)
         for address, make_application in self.adapters.listeners:
@@ -150,7 +152,9 @@
         self.fleet.start_draining()
         self.ingress.draining = True
         self.follow_task.cancel()
-        self.follow_task = _background.in_background(self.fleet.follow())
+        self.follow_task = _background.start_background_task(
+            self.fleet.follow()
+        )
         loguru.logger.info('draining')
         deadline = started_at + self.config.grace_s - EXIT_MARGIN_S
         self.forwarder.drain_deadline = deadline
--- a/src/bulrushhold/composition/_relay.py
+++ b/src/bulrushhold/composition/_relay.py
@@ -56,8 +56,8 @@
         stop = asyncio.Event()
         _background.handle_stop_signals(stop.set)
         tasks = [
-            _background.in_background(self.relay.run()),
-            _background.in_background(self.fleet.run()),
+            _background.start_background_task(self.relay.run()),
+            _background.start_background_task(self.fleet.run()),
         ]
         runner = web.AppRunner(
             app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S
--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -132,7 +132,7 @@
             self.placement,
             client,
             self.budget,
-            node.NoMetrics(),
+            node.NullMetrics(),
             decisions.PoisonRequestDetector(self.placement.count_losses_near),
             self.admission,
             loop.time,
--- a/src/bulrushhold/node/__init__.py
+++ b/src/bulrushhold/node/__init__.py
@@ -8,13 +8,13 @@
 from bulrushhold.node._prometheus import make as make_prometheus_metrics
 from bulrushhold.node._prometheus import PrometheusMetrics
 from bulrushhold.node._statsd import make as make_metrics
-from bulrushhold.node._statsd import NoMetrics
+from bulrushhold.node._statsd import NullMetrics
 from bulrushhold.node._zmqtransport import ZmqTransport
 
 __all__ = [
     'FileLog',
     'Identity',
-    'NoMetrics',
+    'NullMetrics',
     'PrometheusMetrics',
     'ZmqTransport',
     'boot_time',
--- a/src/bulrushhold/node/_statsd.py
+++ b/src/bulrushhold/node/_statsd.py
@@ -30,7 +30,7 @@
         self.client.gauge(name, value)
 
 
-class NoMetrics(ports.Metrics):
+class NullMetrics(ports.Metrics):
     """Discards all metrics; used if no statsd is configured."""
 
     def count(self, name: str, amount: int = 1) -> None:
@@ -45,4 +45,4 @@
 
 def make(target: settings.Metrics | None, prefix: str) -> ports.Metrics:
     """Return a statsd client, or a null object if no target is set."""
-    return NoMetrics() if target is None else StatsdMetrics(target, prefix)
+    return NullMetrics() if target is None else StatsdMetrics(target, prefix)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -176,7 +176,7 @@
             decisions.ReplicatedState.restore(replica.log.snapshot.state),
             store,
             self.control_transport,
-            node.NoMetrics(),
+            node.NullMetrics(),
         )
         self.control_task = asyncio.ensure_future(self.control.run())
 
--- a/tests/cores.py
+++ b/tests/cores.py
@@ -52,7 +52,7 @@
             state,
             store,
             transport,
-            node.NoMetrics(),
+            node.NullMetrics(),
             node.boot_time,
         )
         control.FleetControl(server, 'dc', None)
--- a/tests/forwarding/conftest.py
+++ b/tests/forwarding/conftest.py
@@ -32,7 +32,7 @@
         placement,
         client,
         decisions.ServiceRetryBudget(1.0, 100, 10.0),
-        node.NoMetrics(),
+        node.NullMetrics(),
         decisions.PoisonRequestDetector(placement.count_losses_near),
         decisions.AdmissionController(),
     )
