--- a/src/bulrushhold/composition/_forwarding.py
+++ b/src/bulrushhold/composition/_forwarding.py
@@ -164,7 +164,7 @@
             linger_elapsed = now > started_at + self.config.linger_s
             if now > deadline - REFUSE_BEFORE_EXIT_S:
                 self.forwarder.closing = True
-            if linger_elapsed and not self.ingress.busy:
+            if linger_elapsed and not self.ingress.in_progress:
                 break
 
     async def close(self) -> None:
--- a/src/bulrushhold/web/_ingress.py
+++ b/src/bulrushhold/web/_ingress.py
@@ -70,7 +70,7 @@
         self.handle = handle
         self.dialect = dialect
         self.draining = False
-        self.busy = 0
+        self.in_progress = 0
         self.server = web.Server(
             self._on_request,
             handler_cancellation=True,
@@ -94,11 +94,11 @@
         await self.runner.cleanup()
 
     async def _on_request(self, request: web.BaseRequest) -> t.Any:
-        self.busy += 1
+        self.in_progress += 1
         try:
             return await self._serve(request)
         finally:
-            self.busy -= 1
+            self.in_progress -= 1
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         request._client_max_size = MAX_BODY_BYTES
