--- a/src/bulrushhold/web/__init__.py
+++ b/src/bulrushhold/web/__init__.py
@@ -4,8 +4,8 @@
 from bulrushhold.web._connections import make_session
 from bulrushhold.web._engine import HttpEngineClient
 from bulrushhold.web._ingress import Ingress
+from bulrushhold.web._instancelist import HttpPlatformList
 from bulrushhold.web._metrics import metrics_application
-from bulrushhold.web._platform import HttpPlatformList
 from bulrushhold.web._service import HttpServiceClient
 
 __all__ = [
--- a/tests/platform/test_fuzzing.py
+++ b/tests/platform/test_fuzzing.py
@@ -14,9 +14,9 @@
 import multidict
 import pytest
 
-from adapter import _callers
-from adapter import _engines
-from adapter import _list
+from adapter import _backendlist
+from adapter import _callerdialect
+from adapter import _enginedialect
 from adapter import _operators
 from bulrushhold import errors
 from bulrushhold import forwarding
@@ -99,7 +99,7 @@
 @fuzzed
 @hypothesis.given(JSON)
 def test_backend_list_item_is_decoded_or_skipped(item):
-    parsed = _list._parse_backend(item)
+    parsed = _backendlist._parse_backend(item)
     assert parsed is None or parsed.slots >= 1
 
 
@@ -139,7 +139,7 @@
     )
 )
 def test_backend_list_is_decoded_or_rejected(bodies):
-    backends = _list.PlatformBackendList(_Session(bodies), '10.0.0.1:1')
+    backends = _backendlist.PlatformBackendList(_Session(bodies), '10.0.0.1:1')
     try:
         parsed = asyncio.run(backends.fetch())
     except errors.PeerError as error:
@@ -151,7 +151,7 @@
 @fuzzed
 @hypothesis.given(BODY | DEEPLY_NESTED)
 def test_cache_response_is_decoded_or_rejected(body):
-    engines = _engines.PlatformEngineDialect()
+    engines = _enginedialect.PlatformEngineDialect()
     for decode in (engines.decode_segments, engines.read_copy):
         try:
             decode(body)
@@ -182,7 +182,7 @@
 def test_request_headers_are_decoded_or_rejected(headers):
     headers = {'Bulrushhold-Request-Id': 'r', **headers}
     try:
-        call = _callers.PlatformCallerDialect().read_call(
+        call = _callerdialect.PlatformCallerDialect().read_call(
             'POST', '/a', multidict.CIMultiDict(headers), b''
         )
     except errors.RequestError as error:
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -5,9 +5,9 @@
 import multidict
 import pytest
 
-from adapter import _callers
-from adapter import _engines
-from adapter import _list
+from adapter import _backendlist
+from adapter import _callerdialect
+from adapter import _enginedialect
 from adapter import _operators
 from adapter import _settings
 from bulrushhold import calls
@@ -29,14 +29,16 @@
 
 
 def read_call(headers=HEADERS):
-    return _callers.PlatformCallerDialect().read_call(
+    return _callerdialect.PlatformCallerDialect().read_call(
         'POST', '/a/b?c', headers, b''
     )
 
 
 def sent_headers(call, **options):
     attempt = calls.Attempt('10.0.0.1:80', 'i-1', 'acct', 1.25, **options)
-    pairs = _engines.PlatformEngineDialect().request_headers(call, attempt)
+    pairs = _enginedialect.PlatformEngineDialect().request_headers(
+        call, attempt
+    )
     return multidict.CIMultiDict(pairs)
 
 
@@ -106,7 +108,7 @@
     pairs = multidict.CIMultiDict(
         {'Bulrushhold-Request-Id': 'req-1', **headers}
     )
-    return _engines.PlatformEngineDialect().read_head(
+    return _enginedialect.PlatformEngineDialect().read_head(
         read_call(), status, pairs
     )
 
@@ -252,7 +254,7 @@
 
 
 def test_backend_list_item_is_decoded():
-    backend = _list._parse_backend({**ITEM, 'more': 1})
+    backend = _backendlist._parse_backend({**ITEM, 'more': 1})
     assert backend.leaving and backend.data_centre == 'north'
 
 
@@ -269,8 +271,8 @@
     ],
 )
 def test_invalid_backend_list_item_is_skipped(change):
-    assert _list._parse_backend({**ITEM, **change}) is None
-    assert _list._parse_backend('text') is None
+    assert _backendlist._parse_backend({**ITEM, **change}) is None
+    assert _backendlist._parse_backend('text') is None
 
 
 # Settings
