--- a/bench/resume.py
+++ b/bench/resume.py
@@ -111,7 +111,7 @@
             except errors.RequestError:
                 outcome.refused += 1
                 return
-            conftest.assert_whole(received, tokens)
+            conftest.assert_complete(received, tokens)
             outcome.completed += 1
             outcome.latencies += find_resume_latency(
                 received, received_at, ('m1', 'm2')
