--- a/bench/relay.py
+++ b/bench/relay.py
@@ -169,7 +169,7 @@
         [sys.executable, __file__, 'bare', str(port), str(engine)]
     )
     try:
-        deployment.await_port(port)
+        deployment.wait_for_port(port)
         headers = {
             'Bulrushhold-Account': 'vendors',
             'Content-Type': 'application/json',
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -32,7 +32,7 @@
             'booking', 'slots', method='POST', body={'slot': 'oven-1 9:00'}
         )
         print('booked:', response.body.decode())
-        print('bookings per slot:', deployment.booked())
+        print('bookings per slot:', deployment.booking_counts())
 
 
 def main() -> None:
--- a/src/bulrushhold/testing/_booking.py
+++ b/src/bulrushhold/testing/_booking.py
@@ -20,8 +20,8 @@
         super().__init__(port)
         self.delay_s = delay_s
         self.runs: collections.Counter[str] = collections.Counter()
-        self.drop_answer = False
-        self.crossed = False
+        self.drop_response = False
+        self.wrong_request_id = False
         self.lookups = 0
 
     def routes(self) -> list[web.RouteDef]:
@@ -35,14 +35,14 @@
     async def _book(self, request: web.Request) -> web.Response:
         slot = (await request.json())['slot']
         self.runs[slot] += 1
-        if self.drop_answer and request.transport is not None:
+        if self.drop_response and request.transport is not None:
             request.transport.abort()
         await asyncio.sleep(self.delay_s)
         return self._respond(request, {'booked': slot})
 
     async def _look_up(self, request: web.Request) -> web.Response:
         self.lookups += 1
-        if self.drop_answer and request.transport is not None:
+        if self.drop_response and request.transport is not None:
             request.transport.abort()
         return self._respond(request, {'free': ['oven-1', 'oven-2']})
 
@@ -54,6 +54,6 @@
         self, request: web.Request, body: dict[str, object]
     ) -> web.Response:
         request_id = request.headers.get('X-Request-Id', '')
-        if self.crossed:
+        if self.wrong_request_id:
             request_id = 'another'
         return web.json_response(body, headers={'X-Request-Id': request_id})
--- a/src/bulrushhold/testing/_deployment.py
+++ b/src/bulrushhold/testing/_deployment.py
@@ -87,11 +87,11 @@
             path = self._write_control(name)
             self._command('control-found', '--settings', str(path))
             self.start_control(name)
-        self.await_port(self.platform_port)
+        self.wait_for_port(self.platform_port)
         for name in self.http:
             self._write_entry(name)
             self.start_entry(name)
-        self.await_ready()
+        self.wait_until_ready()
         table = self.folder / 'first.csv'
         table.write_text(INITIAL_TABLE)
         self.cli('table', 'push', '--wait', str(table))
@@ -176,16 +176,16 @@
         }
         return self._command(*arguments, environment=environment)
 
-    def await_port(self, port: int) -> None:
+    def wait_for_port(self, port: int) -> None:
         """Wait until a process accepts HTTP requests on a port."""
         self._wait_for_url(f'http://127.0.0.1:{port}/', any_status=True)
 
-    def await_ready(self, names: t.Iterable[str] | None = None) -> None:
+    def wait_until_ready(self, names: t.Iterable[str] | None = None) -> None:
         """Wait until entries are ready, by default all of them."""
         for name in names or self.http:
             self._wait_for_url(f'http://127.0.0.1:{self.http[name]}/readyz')
 
-    def booked(self) -> dict[str, int]:
+    def booking_counts(self) -> dict[str, int]:
         """Return the number of bookings per slot."""
         url = f'http://127.0.0.1:{self.booking_port}/runs'
         with urllib.request.urlopen(url, timeout=5) as response:
--- a/src/bulrushhold/testing/_engine.py
+++ b/src/bulrushhold/testing/_engine.py
@@ -48,8 +48,8 @@
         self.requests = 0
         self.thawed = asyncio.Event()
         self.thawed.set()
-        self.crossed = False
-        self.drop_end_mark = False
+        self.wrong_request_id = False
+        self.omit_finish_event = False
         self.error_status = 0
         self.leaving = False
 
@@ -110,7 +110,9 @@
         else:
             generation = f'{self.name}-{next(self.generation_numbers)}'
         ids = {
-            'request': 'another' if self.crossed else payload['request'],
+            'request': 'another'
+            if self.wrong_request_id
+            else payload['request'],
             'attempt': payload['attempt'],
         }
         for offset in range(len(prefix), payload['max_tokens']):
@@ -122,7 +124,7 @@
             token = f'{generation}:{offset} '
             event = {**ids, 'offset': offset, 'token': token}
             await response.write(b'data: %b\n\n' % json.dumps(event).encode())
-        if self.drop_end_mark:
+        if self.omit_finish_event:
             return
         event = {**ids, 'offset': payload['max_tokens'], 'finish': 'stop'}
         await response.write(b'data: %b\n\n' % json.dumps(event).encode())
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -65,12 +65,12 @@
     # Without the end mark, the answer may be incomplete even if all tokens
     # have arrived.
     for engine in system.engines.values():
-        engine.drop_end_mark = True
+        engine.omit_finish_event = True
 
     async def restore_end_mark(tokens):
         for engine in system.engines.values():
             if engine is not engine_of(system, tokens):
-                engine.drop_end_mark = False
+                engine.omit_finish_event = False
 
     tokens = await read(system.client(), on={1: restore_end_mark})
     conftest.assert_complete(tokens, 40)
@@ -79,7 +79,7 @@
 async def test_a_reply_for_another_request_is_dropped(system):
     # Another request's tokens must not reach the caller.
     faulty_engine = system.engines['m1']
-    faulty_engine.crossed = True
+    faulty_engine.wrong_request_id = True
     for _ in range(4):
         tokens = await read(system.client(), 5)
         conftest.assert_complete(tokens, 5)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -63,7 +63,7 @@
 
     await read(deployment, kill)
     deployment.start_engine(killed[0])
-    deployment.await_port(deployment.engines[killed[0]])
+    deployment.wait_for_port(deployment.engines[killed[0]])
 
 
 async def test_an_engine_frozen_and_woken(deployment):
@@ -86,7 +86,7 @@
 
     await read(deployment, kill)
     deployment.start_entry(killed[0])
-    deployment.await_ready(killed)
+    deployment.wait_until_ready(killed)
 
 
 async def test_an_entry_frozen_and_woken_while_another_goes_on(deployment):
@@ -100,7 +100,7 @@
 
     await read(deployment, freeze)
     deployment.kill(frozen[0], signal.SIGCONT)
-    deployment.await_ready(frozen)
+    deployment.wait_until_ready(frozen)
 
 
 async def test_an_engine_and_its_entry_killed_together(deployment):
@@ -114,7 +114,7 @@
     await read(deployment, kill)
     deployment.start_entry(killed[0])
     deployment.start_engine(killed[1])
-    deployment.await_ready(killed[:1])
+    deployment.wait_until_ready(killed[:1])
 
 
 async def test_a_drained_entry_ends_its_streams_and_exits_with_0(deployment):
@@ -128,7 +128,7 @@
     process = deployment.processes[drained[0]]
     assert await asyncio.to_thread(process.wait, 20) == 0
     deployment.start_entry(drained[0])
-    deployment.await_ready(drained)
+    deployment.wait_until_ready(drained)
 
 
 @pytest.mark.parametrize('number', [signal.SIGKILL, signal.SIGSTOP])
@@ -154,7 +154,7 @@
         deployment.kill(leader, signal.SIGCONT)
     else:
         deployment.start_control(leader)
-    booked = deployment.booked()
+    booked = deployment.booking_counts()
     for slot, result in zip(slots, results, strict=True):
         runs = booked.get(slot, 0)
         assert runs <= 1
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -30,19 +30,19 @@
 
 async def test_a_booking_whose_answer_was_lost_isnt_run_again(system):
     # The connection breaks after the booking; a second try would book twice.
-    system.booking.drop_answer = True
+    system.booking.drop_response = True
     name = key()
     for _ in range(2):
         with pytest.raises(errors.RequestError) as caught:
             await book(system, key=name)
         assert caught.value.ran is errors.Ran.UNKNOWN
-        system.booking.drop_answer = False
+        system.booking.drop_response = False
     assert system.booking.runs == {'oven-1': 1}
 
 
 async def test_an_answer_for_another_request_is_rejected(system):
     # The answer has another request's id.
-    system.booking.crossed = True
+    system.booking.wrong_request_id = True
     with pytest.raises(errors.RequestError) as caught:
         await book(system)
     assert caught.value.ran is errors.Ran.UNKNOWN
