--- a/tests/platform/soak/__main__.py
+++ b/tests/platform/soak/__main__.py
@@ -23,16 +23,16 @@
     failed = []
     for seed in range(int(first), int(last or first) + 1):
         log_folder = tempfile.mkdtemp(prefix=f'soak-{seed}-', dir=keep or None)
-        with system.Network() as network:
-            soak = run.Run(seed, log_folder, network.number, seconds)
-            report = asyncio.run(soak.play())
+        with system.LoopbackNetwork() as network:
+            soak = run.SoakRun(seed, log_folder, network.number, seconds)
+            report = asyncio.run(soak.execute())
         click.echo(
             f'seed {seed}: {report.served} of {report.sent} served, '
-            f'{len(report.faults)} faults, {len(report.broken)} violations'
+            f'{len(report.faults)} faults, {len(report.violations)} violations'
         )
-        for line in report.broken[:10]:
+        for line in report.violations[:10]:
             click.echo(f'    {line}')
-        if report.broken:
+        if report.violations:
             failed.append(seed)
             click.echo(f'    faults: {", ".join(report.faults)}')
             click.echo(f'    logs: {pathlib.Path(log_folder)}')
--- a/tests/platform/soak/run.py
+++ b/tests/platform/soak/run.py
@@ -32,10 +32,10 @@
     sent: int = 0
     served: int = 0
     faults: list = attrs.field(factory=list)
-    broken: list = attrs.field(factory=list)
+    violations: list = attrs.field(factory=list)
 
 
-class Run:
+class SoakRun:
     """Runs a system with callers, an operator and injected faults.
 
     :param network_number: number of the run's :class:`system.LoopbackNetwork`.
@@ -64,7 +64,7 @@
         self.request_count = 0
         self.tasks = set()
 
-    async def play(self):
+    async def execute(self):
         for engine in self.engines:
             await engine.start()
         platform_list = standins.PlatformListServer(self.engines)
@@ -115,18 +115,18 @@
         try:
             await self.system.wait_until_ready(self.session)
         except TimeoutError as error:
-            self.report.broken.append(f'recover: {error}')
+            self.report.violations.append(f'recover: {error}')
             return
         await asyncio.sleep(2.0)
         before = self.report.served
         await asyncio.gather(*(self._send_request() for _ in range(20)))
         if self.report.served - before < 20:
             served = self.report.served - before
-            self.report.broken.append(f'recover: {served} of 20 served')
+            self.report.violations.append(f'recover: {served} of 20 served')
         await self._check_route_maps(final=True)
         for program in self.system.programs:
             if program.unexpected_exits:
-                self.report.broken.append(
+                self.report.violations.append(
                     f'{program.name} exited unexpectedly'
                 )
 
@@ -173,12 +173,12 @@
             self.refused.append(ident)
             return
         if status in (401, 403, 404):
-            self.report.broken.append(f'denied: {status} for {target}')
+            self.report.violations.append(f'denied: {status} for {target}')
         if status != 200:
             return
         self.report.served += 1
         if response.headers.get('Bulrushhold-Request-Id') != ident:
-            self.report.broken.append(f'mixed: {target}: wrong request ID')
+            self.report.violations.append(f'mixed: {target}: wrong request ID')
         if kind == standins.STREAM_PATH:
             expected = b''.join(
                 standins.encode_event(target, n)
@@ -187,19 +187,21 @@
         else:
             expected = standins.make_body(target, body)
         if data != expected:
-            self.report.broken.append(
+            self.report.violations.append(
                 f'mixed: {target}: {len(data)} bytes of {len(expected)}'
             )
 
     def _check_executions(self):
         for ident in self.refused:
             if ident in self.observations.unsafe_executed:
-                self.report.broken.append(f'refused but executed: {ident}')
+                self.report.violations.append(f'refused but executed: {ident}')
         for ident, runs in self.observations.runs.items():
             if runs > 1 and ident in self.observations.unsafe_executed:
-                self.report.broken.append(f'executed {runs} times: {ident}')
+                self.report.violations.append(
+                    f'executed {runs} times: {ident}'
+                )
         for target, name in self.observations.forged[:5]:
-            self.report.broken.append(f'forged {name} at {target}')
+            self.report.violations.append(f'forged {name} at {target}')
 
     # The operator
 
@@ -252,7 +254,7 @@
                     self.acknowledged = max(self.acknowledged, version)
                     return True
                 if 400 <= response.status < 500:
-                    self.report.broken.append(
+                    self.report.violations.append(
                         f'valid route map {version}: {response.status}'
                     )
         return False
@@ -286,11 +288,11 @@
                     document = await response.json()
                     maps_read += 1
                     if document['config-version'] < min_version:
-                        self.report.broken.append(
+                        self.report.violations.append(
                             f'{program.name} returned an outdated route map'
                         )
         if final and not maps_read:
-            self.report.broken.append(
+            self.report.violations.append(
                 'no control server returned the route map'
             )
 
--- a/tests/platform/soak/system.py
+++ b/tests/platform/soak/system.py
@@ -63,7 +63,7 @@
     unexpected_exits: int = 0
 
 
-class Network:
+class LoopbackNetwork:
     """Exclusive use of a range of loopback addresses.
 
     Prevents concurrent runs from sharing addresses, where requests and
