--- a/bench/slopes.py
+++ b/bench/scaling.py
@@ -1,6 +1,6 @@
 """Benchmark of how CPU and memory costs scale with the number of items.
 
-    python -m bench.slopes
+    python -m bench.scaling
 
 CPU time is that of the decision code and the codec in this process. Table
 polling is measured on a real control server with simulated entries.
@@ -252,7 +252,7 @@
 def measure_in_subprocess(kind: str, count: int) -> float:
     """Measure memory in a new process, unaffected by earlier allocations."""
     completed = subprocess.run(
-        [sys.executable, '-m', 'bench.slopes', kind, str(count)],
+        [sys.executable, '-m', 'bench.scaling', kind, str(count)],
         capture_output=True,
         text=True,
         check=True,
--- a/tests/platform/soak/run.py
+++ b/tests/platform/soak/run.py
@@ -11,7 +11,7 @@
 import attrs
 import yarl
 
-from tests.platform.soak import standins
+from tests.platform.soak import fakes
 from tests.platform.soak import system
 
 API_KEY = 'key-1'
@@ -48,14 +48,14 @@
         self.folder = folder
         self.network_number = network_number
         self.seconds = seconds
-        self.observations = standins.Observations()
+        self.observations = fakes.Observations()
         self.engines = [
-            standins.Engine(
+            fakes.Engine(
                 's-model', f'zone-{n % 3}', self.observations, self.rng
             )
             for n in range(MODEL_ENGINES)
         ] + [
-            standins.Engine('s-desk', f'zone-{n}', self.observations, self.rng)
+            fakes.Engine('s-desk', f'zone-{n}', self.observations, self.rng)
             for n in range(PLAIN_SERVERS)
         ]
         self.refused = []
@@ -67,7 +67,7 @@
     async def execute(self):
         for engine in self.engines:
             await engine.start()
-        platform_list = standins.PlatformListServer(self.engines)
+        platform_list = fakes.PlatformListServer(self.engines)
         await platform_list.start()
         base = 21000 + self.network_number * 40
         self.system = system.System(
@@ -141,7 +141,7 @@
         self.request_count += 1
         number = self.request_count
         kind = self.rng.choice(
-            (standins.STREAM_PATH, standins.UNSAFE_PATH, standins.SAFE_PATH)
+            (fakes.STREAM_PATH, fakes.UNSAFE_PATH, fakes.SAFE_PATH)
         )
         ident = f'{self.report.seed}-{number}'
         target = f'{kind}{ident}?q=%2F{number}'
@@ -154,7 +154,7 @@
             'Bulrushhold-Hold': 'forged',
             'Bulrushhold-Tenant': 'forged',
         }
-        if kind == standins.STREAM_PATH:
+        if kind == fakes.STREAM_PATH:
             headers['Bulrushhold-Token-Counts'] = '800,40'
             headers['Bulrushhold-Prompt-Prefix'] = f'a:100,b{number}:700'
         self.report.sent += 1
@@ -179,13 +179,13 @@
         self.report.served += 1
         if response.headers.get('Bulrushhold-Request-Id') != ident:
             self.report.violations.append(f'mixed: {target}: wrong request ID')
-        if kind == standins.STREAM_PATH:
+        if kind == fakes.STREAM_PATH:
             expected = b''.join(
-                standins.encode_event(target, n)
-                for n in range(1, standins.EVENT_COUNT + 1)
+                fakes.encode_event(target, n)
+                for n in range(1, fakes.EVENT_COUNT + 1)
             )
         else:
-            expected = standins.make_body(target, body)
+            expected = fakes.make_body(target, body)
         if data != expected:
             self.report.violations.append(
                 f'mixed: {target}: {len(data)} bytes of {len(expected)}'
@@ -224,13 +224,13 @@
             'routes': [
                 route(
                     1,
-                    standins.STREAM_PATH,
+                    fakes.STREAM_PATH,
                     'streaming',
                     's-model',
                     resumable=True,
                 ),
-                route(2, standins.UNSAFE_PATH, 'unsafe', 's-desk'),
-                route(3, standins.SAFE_PATH, 'safe', 's-desk'),
+                route(2, fakes.UNSAFE_PATH, 'unsafe', 's-desk'),
+                route(3, fakes.SAFE_PATH, 'safe', 's-desk'),
                 route(4, f'/v{version}/', 'safe', 's-desk'),
             ],
             'services': [
