--- a/Makefile
+++ b/Makefile
@@ -26,5 +26,5 @@
 	$(PY) bench/relay.py
 	$(PY) -m bench.resume
 	$(PY) -m bench.routing
-	$(PY) -m bench.slopes
+	$(PY) -m bench.scaling
 	$(PY) -m bench.control
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,7 +19,7 @@
 from bulrushhold import ports
 from bulrushhold import settings
 from bulrushhold import testing
-from tests import cores
+from tests import control_cluster
 
 KNOWN_FAILURES = pathlib.Path(__file__).parent.parent / 'KNOWN-RED.txt'
 OPERATOR_KEY = 'operator-key-for-tests'
@@ -316,7 +316,7 @@
 
 @pytest_asyncio.fixture
 async def core(tmp_path):
-    made = cores.ControlCluster(tmp_path)
+    made = control_cluster.ControlCluster(tmp_path)
     yield made
     for name in list(made.running):
         await made.stop(name)
