--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -13,6 +13,8 @@
 from bulrushhold.decisions._configchanges import with_learner
 from bulrushhold.decisions._controlservers import ControlServers
 from bulrushhold.decisions._copies import CopyStore
+from bulrushhold.decisions._enginecrashes import content_fingerprint
+from bulrushhold.decisions._enginecrashes import EngineCrashTracker
 from bulrushhold.decisions._enginespeeds import EngineSpeeds
 from bulrushhold.decisions._enginespeeds import LatencyObjective
 from bulrushhold.decisions._enginespeeds import PauseSamples
@@ -20,19 +22,6 @@
 from bulrushhold.decisions._fairqueue import FairQueue
 from bulrushhold.decisions._lifecycle import Lifecycle
 from bulrushhold.decisions._loadaggregator import LoadAggregator
-from bulrushhold.decisions._rendezvous import copy_peers
-from bulrushhold.decisions._rendezvous import entries_for_account
-from bulrushhold.decisions._rendezvous import entries_needed
-from bulrushhold.decisions._rendezvous import home_entries
-from bulrushhold.decisions._rendezvous import rendezvous_order
-from bulrushhold.decisions._rendezvous import SMALL_ACCOUNT_ENTRIES
-from bulrushhold.decisions._swim import Membership
-from bulrushhold.decisions._swim import PERIOD_S as MEMBERSHIP_PERIOD_S
-from bulrushhold.decisions._swim import (
-    PROBE_S as MEMBERSHIP_PROBE_TIMEOUT_S,
-)
-from bulrushhold.decisions._enginecrashes import content_fingerprint
-from bulrushhold.decisions._enginecrashes import EngineCrashTracker
 from bulrushhold.decisions._placement import Placement
 from bulrushhold.decisions._poisonrequests import fingerprint
 from bulrushhold.decisions._poisonrequests import PoisonRequestDetector
@@ -50,6 +39,12 @@
 from bulrushhold.decisions._recovery import RecoveryPolicy
 from bulrushhold.decisions._recovery import SequentialPolicy
 from bulrushhold.decisions._recovery import WorkBudget
+from bulrushhold.decisions._rendezvous import copy_peers
+from bulrushhold.decisions._rendezvous import entries_for_account
+from bulrushhold.decisions._rendezvous import entries_needed
+from bulrushhold.decisions._rendezvous import home_entries
+from bulrushhold.decisions._rendezvous import rendezvous_order
+from bulrushhold.decisions._rendezvous import SMALL_ACCOUNT_ENTRIES
 from bulrushhold.decisions._replica import Replica
 from bulrushhold.decisions._routing import BackendState
 from bulrushhold.decisions._routing import Choice
@@ -58,6 +53,9 @@
 from bulrushhold.decisions._stalltimeouts import first_event_timeout_s
 from bulrushhold.decisions._stalltimeouts import StallTimeouts
 from bulrushhold.decisions._statemachine import ReplicatedState
+from bulrushhold.decisions._swim import Membership
+from bulrushhold.decisions._swim import PERIOD_S as MEMBERSHIP_PERIOD_S
+from bulrushhold.decisions._swim import PROBE_S as MEMBERSHIP_PROBE_TIMEOUT_S
 from bulrushhold.decisions._table import difference
 from bulrushhold.decisions._table import TableState
 from bulrushhold.decisions._tablecsv import read as read_csv
--- a/src/bulrushhold/messages/__init__.py
+++ b/src/bulrushhold/messages/__init__.py
@@ -149,7 +149,7 @@
     'WatchReply',
     'decode',
     'encode',
+    'is_newer',
     'pack_map',
     'unpack_map',
-    'is_newer',
 ]
