--- a/src/bulrushhold/decisions/_admissioncontrol.py
+++ b/src/bulrushhold/decisions/_admissioncontrol.py
@@ -62,8 +62,8 @@
     first_s: float
     idle: bool
     engines: int
-    per_s: float
-    write_s: float = 0.0
+    completions_per_s: float
+    min_output_s: float = 0.0
     headroom: bool = True
     ready_engines: int = 1
 
@@ -113,7 +113,7 @@
         if not estimate.engines or not aim_s:
             # No healthy engine, or no aim to compare the wait with.
             return AdmissionDecision.PLACE
-        total_s = estimate.first_s + estimate.write_s
+        total_s = estimate.first_s + estimate.min_output_s
         if not begun and left_s < total_s < float('inf'):
             return AdmissionDecision.REFUSE
         if (
@@ -146,7 +146,11 @@
         waiting = self._total_waiting(service, entries, now)
         if not waiting:
             return 0.0
-        return waiting / estimate.per_s if estimate.per_s else float('inf')
+        return (
+            waiting / estimate.completions_per_s
+            if estimate.completions_per_s
+            else float('inf')
+        )
 
     def should_admit_now(
         self,
--- a/src/bulrushhold/decisions/_backendpool.py
+++ b/src/bulrushhold/decisions/_backendpool.py
@@ -52,7 +52,7 @@
         self.last_report_at = 0.0
         self.load_age_s = 0.0
         self.remote_loads: dict[str, messages.EngineLoad] = {}
-        self.silent_data_centres: list[str] = []
+        self.stale_data_centres: list[str] = []
         self.capacity: dict[str, int] = {}
         self.speeds = _enginespeeds.EngineSpeeds()
         self.backends: dict[str, _backendserver.BackendServer] = {}
@@ -108,7 +108,7 @@
         backend: _backendserver.BackendServer,
         now: float,
         tokens: int,
-        share: float,
+        max_share: float,
     ) -> bool:
         capacity = self.capacity.get(backend.service, 0)
         needed = (
@@ -116,7 +116,7 @@
             + self.current_remote_load(backend, now).memory
             + tokens
         )
-        return not capacity or needed <= capacity * share
+        return not capacity or needed <= capacity * max_share
 
     def current_remote_load(
         self, backend: _backendserver.BackendServer, now: float
@@ -281,7 +281,7 @@
         """Apply a summary of what other entries report."""
         self.load_age_s = summary.age_s
         self.last_report_at = now - summary.age_s
-        self.silent_data_centres = summary.silent
+        self.stale_data_centres = summary.silent
         self.speeds.apply_loads(summary.speeds)
         self._apply_engines(summary)
         for ident in summary.lost:
--- a/src/bulrushhold/decisions/_loadaggregator.py
+++ b/src/bulrushhold/decisions/_loadaggregator.py
@@ -219,7 +219,7 @@
             [event.crash for event in events if event.crash is not None],
             speeds,
             self.age_s(now),
-            self.silent(now),
+            self.stale_data_centres(now),
             since,
         )
 
@@ -258,7 +258,7 @@
         """Return the addresses of processes whose sums arrive."""
         return [a for a, node in self.nodes.items() if _is_live(node, now)]
 
-    def silent(self, now: float) -> list[str]:
+    def stale_data_centres(self, now: float) -> list[str]:
         """Return the data centres whose sums are missing."""
         live = {
             node.data_centre
--- a/src/bulrushhold/decisions/_loadtotals.py
+++ b/src/bulrushhold/decisions/_loadtotals.py
@@ -97,39 +97,39 @@
 
 def _add_engines(
     totals: dict[str, messages.EngineLoad],
-    more: dict[str, messages.EngineLoad],
+    added: dict[str, messages.EngineLoad],
     sign: int,
 ) -> None:
-    for ident, one in more.items():
-        known = totals.get(ident, NO_LOAD)
+    for ident, one in added.items():
+        total = totals.get(ident, NO_LOAD)
         totals[ident] = messages.EngineLoad(
-            known.reading + sign * one.reading,
-            known.running + sign * one.running,
-            known.memory + sign * one.memory,
+            total.reading + sign * one.reading,
+            total.running + sign * one.running,
+            total.memory + sign * one.memory,
         )
 
 
 def add_traffic(
     totals: dict[str, messages.ServiceTraffic],
-    more: dict[str, messages.ServiceTraffic],
+    added: dict[str, messages.ServiceTraffic],
     sign: int,
 ) -> None:
     """Add requests by service to totals, or subtract them."""
-    for service, one in more.items():
-        known = totals.get(service, NO_TRAFFIC)
+    for service, one in added.items():
+        total = totals.get(service, NO_TRAFFIC)
         totals[service] = messages.ServiceTraffic(
-            known.firsts + sign * one.firsts,
-            known.repeats + sign * one.repeats,
-            known.waiting + sign * one.waiting,
+            total.firsts + sign * one.firsts,
+            total.repeats + sign * one.repeats,
+            total.waiting + sign * one.waiting,
         )
 
 
 def add_speeds(
     totals: dict[str, messages.EngineSpeed],
-    more: dict[str, messages.EngineSpeed],
+    added: dict[str, messages.EngineSpeed],
     sign: int,
 ) -> None:
     """Add speed samples by service to totals, or subtract them."""
-    for service, speed in more.items():
-        known = totals.get(service, _enginespeeds.NO_SAMPLES)
-        totals[service] = _enginespeeds.add(known, speed, sign)
+    for service, speed in added.items():
+        total = totals.get(service, _enginespeeds.NO_SAMPLES)
+        totals[service] = _enginespeeds.add(total, speed, sign)
--- a/src/bulrushhold/decisions/_placement.py
+++ b/src/bulrushhold/decisions/_placement.py
@@ -125,9 +125,11 @@
 
         def wait(backend: _backendserver.BackendServer) -> float:
             rank = ranks.get(backend.ident, AFFINITY_CANDIDATES)
-            own_tokens = 0 if backend.ident == cached else tokens
+            uncached_tokens = 0 if backend.ident == cached else tokens
             others = self.current_remote_load(backend, now)
-            prompts = (backend.reading + others.reading + own_tokens) / prompt
+            prompts = (
+                backend.reading + others.reading + uncached_tokens
+            ) / prompt
             running = backend.inflight + others.running
             prompts += (
                 running * RUNNING_STREAM_COST_PROMPTS
@@ -178,8 +180,8 @@
 
     def _is_load_stale(self, service: str, now: float) -> bool:
         """Return whether much of the other entries' load is unknown here."""
-        old = now - self.last_report_at > STALE_AFTER_S
-        if old or self.silent_data_centres:
+        outdated = now - self.last_report_at > STALE_AFTER_S
+        if outdated or self.stale_data_centres:
             return True
         return any(
             now - backend.lost_at < STALE_AFTER_LOSS_S
@@ -227,7 +229,7 @@
             if not self.has_room(backend, now, tokens, max_share)
         }
         tried = tried | full | {engine.ident}
-        best = self._best(engine.service, now, tried, cost, strict=True)
+        best = self._best(engine.service, now, tried, cost, healthy_only=True)
         if best is None or best.data_centre == engine.data_centre:
             return best
         # Choose among a random few: entries that choose at the same moment
@@ -242,7 +244,12 @@
         ]
         preferred = self.rng.sample(others, min(COPY_CHOICES, len(others)))
         return self._best(
-            engine.service, now, tried, cost, strict=True, preferred=preferred
+            engine.service,
+            now,
+            tried,
+            cost,
+            healthy_only=True,
+            preferred=preferred,
         )
 
     def estimate_capacity(
@@ -272,7 +279,7 @@
         ]
         first_s = float('inf')
         idle = False
-        with_room = in_time = 0
+        with_room = ready_engines = 0
         for backend in healthy:
             if not self.has_room(backend, now, memory, 1.0):
                 continue
@@ -280,20 +287,22 @@
             reading = backend.reading + others + tokens
             first_s = min(first_s, reading * token_s)
             with_room += 1
-            in_time += reading * token_s <= objective.aim_s
+            ready_engines += reading * token_s <= objective.aim_s
             nearly_idle = reading * token_s <= IDLE_AIM_SHARE * objective.aim_s
             idle = idle or nearly_idle or reading == tokens
-        per_s = self._completions_per_s(service, now, tokens * token_s, memory)
+        engine_rate = self._completions_per_s(
+            service, now, tokens * token_s, memory
+        )
         run_s = self.speeds.run_s(service, now) or 0.0
         return _admissioncontrol.CapacityEstimate(
             first_s,
             idle,
             len(healthy),
-            len(healthy) * per_s,
+            len(healthy) * engine_rate,
             max(0.0, MIN_RUN_SHARE * run_s - tokens * token_s),
-            in_time >= min(HEADROOM_ENGINES, with_room)
+            ready_engines >= min(HEADROOM_ENGINES, with_room)
             or 2 * with_room < len(healthy),
-            in_time,
+            ready_engines,
         )
 
     def _completions_per_s(
@@ -322,7 +331,7 @@
         tried: set[str],
         cost: t.Callable[[_backendserver.BackendServer], float],
         *,
-        strict: bool = False,
+        healthy_only: bool = False,
         preferred: t.Container[str] = (),
     ) -> _backendserver.BackendServer | None:
         usable = self.usable(service)
@@ -331,7 +340,7 @@
         if healthy:
             shortlist = [b for b in healthy if b.ident in preferred]
             return min(shortlist or healthy, key=cost)
-        if strict or not untried:
+        if healthy_only or not untried:
             return None
         # All are ejected: the one ejected first is the likeliest to be back.
         return min(untried, key=lambda b: b.ejected_until)
@@ -346,11 +355,11 @@
         if not part:
             part = str(self.rng.random())
         idents = [b.ident for b in self.usable(service)]
-        first = heapq.nlargest(
+        preferred = heapq.nlargest(
             AFFINITY_CANDIDATES,
             (ident for ident in idents if ident not in tried),
             key=lambda ident: xxhash.xxh64_intdigest(
                 f'{part}/{ident}'.encode()
             ),
         )
-        return {ident: rank for rank, ident in enumerate(first)}
+        return {ident: rank for rank, ident in enumerate(preferred)}
