--- a/src/bulrushhold/decisions/_admissioncontrol.py
+++ b/src/bulrushhold/decisions/_admissioncontrol.py
@@ -3,9 +3,10 @@
 Engines queue prompts in order of arrival. Under overload, e.g. when engines
 are lost, an unlimited queue would delay all streams, including those that
 arrive after the overload. So an engine only gets prompts that can meet their
-aim. A late stream waits at the entry for an idle engine; if few engines can
-meet the aim, it takes one only after half of its maximum wait. A stream that
-would wait for longer is refused at once with a time to retry after.
+aim, the route's target for the time to the first event. A stream that can't
+meet it any more waits at the entry for an idle engine; if few engines can meet
+the aim, it takes one only after half of its maximum wait. A stream that would
+exceed its maximum wait is refused at once with a time to retry after.
 """
 
 import collections
@@ -19,7 +20,7 @@
 MAX_WAIT_AIMS: t.Final = 3.4
 # Safety margin on the expected time to the first event, which is a mean.
 FIRST_EVENT_MARGIN: t.Final = 1.3
-# Time for which the overload counts as lasting after a stream had to wait.
+# Time for which an overload is assumed to last after a stream had to wait.
 OVERLOAD_S: t.Final = 5.0
 # Bounds of Retry-After: enough for the queue to shorten, and soon enough for
 # callers that retry only once.
@@ -47,15 +48,15 @@
 class CapacityEstimate:
     """How soon and how often engines can take one more prompt.
 
-    :param first_s: time to its first event at the best engine with free
+    :param first_event_s: time to its first event at the best engine with free
         memory; infinite if there is none.
-    :param idle: an engine with free memory has nothing to read, or so little
-        that the next prompt can meet its aim there, too.
+    :param idle: an engine with free memory has no prompts to read, or can
+        read them and the new one well within the aim.
     :param engines: number of healthy engines.
-    :param per_s: streams that they complete per second, together.
-    :param write_s: least time from its first event to its last one.
+    :param completions_per_s: streams that all of them complete per second.
+    :param min_output_s: minimum time from the first event to the last one.
     :param headroom: several engines can meet the aim, or most have no free
-        memory; late streams may then use an idle engine at once.
+        memory; streams that can't meet it may then use an idle engine at once.
     :param ready_engines: engines that can meet the aim of one more prompt.
     """
 
@@ -103,12 +104,12 @@
     ) -> AdmissionDecision:
         """Decide on a stream that has waited for ``waited_s``.
 
-        :param left_s: time to the stream's deadline.
+        :param remaining_s: time to the stream's deadline.
         :param aim_s: target for the time from arrival to first event.
         :param queue_s: time until all waiting streams are placed.
         :param first_check: the stream has just arrived.
-        :param begun: the caller has received some events; such a stream is
-            late already, and its remaining length is unknown.
+        :param begun: the caller has received some events, so the aim no
+            longer applies, and the remaining length is unknown.
         """
         if not estimate.engines or not aim_s:
             # No healthy engine, or no aim to compare the wait with.
@@ -167,7 +168,8 @@
         All waiting streams see a free engine at the same moment. Each is
         admitted with a probability that keeps their expected number within
         the engines' capacity until all entries know of the placements. A
-        stream that has begun is always admitted, since its pause grows.
+        stream of which the caller has received events is always admitted,
+        since the caller sees any further wait as a stall.
 
         :param draw: uniformly distributed random number from 0 to 1.
         """
--- a/src/bulrushhold/decisions/_backendpool.py
+++ b/src/bulrushhold/decisions/_backendpool.py
@@ -123,8 +123,8 @@
     ) -> messages.EngineLoad:
         """Return the load that other entries report, or none if outdated.
 
-        Without the limit, an engine that was full when reports ceased would
-        seem full for good, and streams would wait beside idle engines.
+        Otherwise an engine that was full when reports ceased would seem full
+        from then on, and streams would wait although engines are idle.
         """
         is_current = now - self.last_report_at < LOAD_REPORT_TTL_S
         return backend.remote_load if is_current else _backendserver.NO_LOAD
@@ -238,9 +238,9 @@
         traffic: dict[str, messages.ServiceTraffic],
         now: float,
     ) -> messages.LoadReport:
-        """Return this entry's load report; each lost engine is listed once."""
+        """Return this entry's load report; clear the pending events."""
         lost, self.pending_losses = self.pending_losses, []
-        mark_replaced, self.pending_replaced = self.pending_replaced, []
+        replaced, self.pending_replaced = self.pending_replaced, []
         loads = {
             backend.ident: messages.EngineLoad(
                 backend.reading, backend.inflight, backend.memory
@@ -250,7 +250,7 @@
         }
         speeds = self.speeds.snapshot(now)
         return messages.LoadReport(
-            entry, loads, lost, mark_replaced, traffic, speeds=speeds
+            entry, loads, lost, replaced, traffic, speeds=speeds
         )
 
     def _apply_engines(self, summary: messages.LoadSummary) -> None:
@@ -282,7 +282,7 @@
         self.load_age_s = summary.age_s
         self.last_report_at = now - summary.age_s
         self.stale_data_centres = summary.silent
-        self.speeds.apply_loads(summary.speeds)
+        self.speeds.apply_remote_samples(summary.speeds)
         self._apply_engines(summary)
         for ident in summary.lost:
             backend = self.backends.get(ident)
@@ -299,7 +299,10 @@
             self.on_load_change()
 
     def record_read(self, part: str, ident: str, now: float) -> None:
-        """Record that an engine has read and cached a part of a prompt."""
+        """Record that an engine has read and cached a prompt.
+
+        :param segment: last segment of the prompt, or ``''`` if unknown.
+        """
         if part:
             self.cached_prompts[part] = (ident, now)
             self.cached_prompts.move_to_end(part)
--- a/src/bulrushhold/decisions/_enginespeeds.py
+++ b/src/bulrushhold/decisions/_enginespeeds.py
@@ -1,8 +1,8 @@
-"""Estimate how fast a service's engines read prompts, write and complete runs.
+"""Estimate how fast engines read prompts, produce events and complete runs.
 
 The estimates adapt to any model, hardware, batch size and slowdown. One entry
-sees only few streams, so the samples of all entries are added up. Until there
-are enough, the latency objectives of the routes serve as a prior.
+sees only few streams, so the samples of all entries are summed per service.
+Until there are enough, the latency objectives of the routes serve as a prior.
 """
 
 import math
@@ -48,7 +48,7 @@
 class PauseSamples:
     """Sums of the pauses between events of one run.
 
-    :param long_pause_s: upper end of the usual pauses.
+    :param long_pause_s: upper end of nearly all pauses; bounds the samples.
     """
 
     long_pause_s: float
@@ -134,7 +134,9 @@
         """Record the time from sending a prompt to the last event."""
         self._add(service, messages.EngineSpeed(runs=1, run_s=seconds), now)
 
-    def apply_loads(self, remote: dict[str, messages.EngineSpeed]) -> None:
+    def apply_remote_samples(
+        self, remote: dict[str, messages.EngineSpeed]
+    ) -> None:
         """Replace the samples of all other entries."""
         self.remote = remote
 
--- a/src/bulrushhold/decisions/_loadaggregator.py
+++ b/src/bulrushhold/decisions/_loadaggregator.py
@@ -1,9 +1,8 @@
-"""Aggregate load reports by control process, and of all processes.
+"""Aggregate load reports per control process and over all processes.
 
-An entry alone sees only its own streams and the failures among them. Entries
-report to a control process of their data centre, and the processes exchange
-sums, so that traffic between data centres doesn't grow with the number of
-entries.
+Each entry sees only its own streams and their failures. Entries report to a
+control process of their data centre, and the processes exchange sums, so that
+traffic between data centres doesn't grow with the number of entries.
 """
 
 import collections
@@ -17,11 +16,11 @@
 # Events are kept for processes that were briefly disconnected. An older loss
 # no longer matters: the engine has restarted or left the list.
 EVENT_TTL_S: t.Final = 2.0
-# Several sums in a row are missing.
+# Without a sum for this time, i.e. several in a row, a process isn't live.
 SUM_MISSING_AFTER_S: t.Final = 0.8
-# An older sum says nothing about the current load of engines.
+# An older sum no longer reflects the load of the engines.
 SUM_TTL_S: t.Final = 2.0
-# By then the entries of a lost process report to another one.
+# By then the entries of a lost process report to another process.
 NODE_TTL_S: t.Final = 10.0
 
 
@@ -56,7 +55,7 @@
     engines: dict[str, messages.EngineLoad] = attrs.field(factory=dict)
     sum: messages.LoadReport | None = None
 
-    def forget(self) -> None:
+    def clear_sum(self) -> None:
         """Drop an outdated sum; the next one to be accepted is complete."""
         self.sum = None
         self.engines = {}
@@ -151,7 +150,7 @@
             if node.sum is not None and now - node.at > SUM_TTL_S
         ]
         for node in outdated:
-            node.forget()
+            node.clear_sum()
         self.number += bool(outdated)
         return bool(outdated)
 
@@ -259,7 +258,7 @@
         return [a for a, node in self.nodes.items() if _is_live(node, now)]
 
     def stale_data_centres(self, now: float) -> list[str]:
-        """Return the data centres whose sums are missing."""
+        """Return the other data centres of which no process is live."""
         live = {
             node.data_centre
             for node in self.nodes.values()
--- a/src/bulrushhold/decisions/_loadtotals.py
+++ b/src/bulrushhold/decisions/_loadtotals.py
@@ -56,22 +56,22 @@
 
     def _prune_changes(self, new: 'LoadTotal', number: int) -> None:
         self.changed = {
-            ident: at
-            for ident, at in self.changed.items()
-            if ident in new.engines or number - at < MAX_CHANGES
+            ident: changed_at
+            for ident, changed_at in self.changed.items()
+            if ident in new.engines or number - changed_at < MAX_CHANGES
         }
 
     def changed_since(self, number: int) -> dict[str, messages.EngineLoad]:
         """Return the load of changed engines; zero for removed ones.
 
-        The result is cached until the next change: most entries ask for the
-        same one.
+        The result is cached until the next change, since most entries ask
+        for the changes since the same number.
         """
         if number not in self.deltas:
             self.deltas[number] = {
                 ident: self.engines.get(ident, NO_LOAD)
-                for ident, at in self.changed.items()
-                if at > number
+                for ident, changed_at in self.changed.items()
+                if changed_at > number
             }
         return self.deltas[number]
 
@@ -87,7 +87,9 @@
     own: dict[str, messages.EngineLoad],
 ) -> dict[str, messages.EngineLoad]:
     """Return loads minus one entry's own, limited to the engines given."""
-    own_loads = {ident: one for ident, one in own.items() if ident in engines}
+    own_loads = {
+        ident: load for ident, load in own.items() if ident in engines
+    }
     if not own_loads:
         return engines
     others = dict(engines)
@@ -100,12 +102,12 @@
     added: dict[str, messages.EngineLoad],
     sign: int,
 ) -> None:
-    for ident, one in added.items():
+    for ident, load in added.items():
         total = totals.get(ident, NO_LOAD)
         totals[ident] = messages.EngineLoad(
-            total.reading + sign * one.reading,
-            total.running + sign * one.running,
-            total.memory + sign * one.memory,
+            total.reading + sign * load.reading,
+            total.running + sign * load.running,
+            total.memory + sign * load.memory,
         )
 
 
@@ -115,12 +117,12 @@
     sign: int,
 ) -> None:
     """Add requests by service to totals, or subtract them."""
-    for service, one in added.items():
+    for service, traffic in added.items():
         total = totals.get(service, NO_TRAFFIC)
         totals[service] = messages.ServiceTraffic(
-            total.firsts + sign * one.firsts,
-            total.repeats + sign * one.repeats,
-            total.waiting + sign * one.waiting,
+            total.firsts + sign * traffic.firsts,
+            total.repeats + sign * traffic.repeats,
+            total.waiting + sign * traffic.waiting,
         )
 
 
--- a/src/bulrushhold/decisions/_placement.py
+++ b/src/bulrushhold/decisions/_placement.py
@@ -24,9 +24,9 @@
 # Each running stream slows the reading of a new prompt a little.
 RUNNING_STREAM_COST_PROMPTS: t.Final = 0.08
 # Number of engines preferred for a prompt, chosen by rendezvous hashing of its
-# last part. Spreads the streams of entries that can't see each other's choices
-# yet, and lets a retry through another entry reach the engine that has the
-# prompt cached.
+# last segment. Spreads the streams of entries that can't see each other's
+# choices yet, and lets a retry through another entry reach the engine that has
+# the prompt cached.
 AFFINITY_CANDIDATES: t.Final = 5
 # Added for each rank in the rendezvous order.
 RANK_COST_PROMPTS: t.Final = 0.08
@@ -41,8 +41,8 @@
 # An engine counts as idle if it can read all its prompts and the new one
 # within this share of the aim.
 IDLE_AIM_SHARE: t.Final = 0.7
-# Late streams are placed while at least this many engines can meet the aim, so
-# that new streams still find one.
+# Streams that can't meet their aim any more are placed at once only while at
+# least this many engines can meet it, so that new streams still find one.
 HEADROOM_ENGINES: t.Final = 2
 # Lower bound of a run's duration, as a share of the mean.
 MIN_RUN_SHARE: t.Final = 0.5
@@ -115,8 +115,8 @@
         number of tokens to read stands for time.
 
         :param tokens: length of the prompt.
-        :param part: last part of the prompt; an engine that has it cached
-            needn't read it again.
+        :param segment: last segment of the prompt; an engine that has it
+            cached needn't read the prompt again.
         :param avoid_data_centre: data centre that just lost this stream.
         """
         cached = self.engine_with_prompt(part, now)
@@ -166,9 +166,9 @@
     def likely_cache_holders(
         self, service: str, part: str, now: float
     ) -> list[_backendserver.BackendServer]:
-        """Return the engines that may have a part of a prompt cached.
+        """Return the engines that may have a prompt cached.
 
-        Empty if the engine is known, or if the part has no name.
+        Empty if the engine that has it is known, or without a segment.
         """
         if not part or self.engine_with_prompt(part, now):
             return []
@@ -342,15 +342,15 @@
             return min(shortlist or healthy, key=cost)
         if healthy_only or not untried:
             return None
-        # All are ejected: the one ejected first is the likeliest to be back.
+        # All are ejected: the one ejected first has most likely recovered.
         return min(untried, key=lambda b: b.ejected_until)
 
     def _affinity_ranks(
         self, service: str, part: str, tried: set[str]
     ) -> dict[str, int]:
-        """Return the ranks of the engines preferred for a part of a prompt.
+        """Return the ranks of the engines preferred for a prompt.
 
-        Uses rendezvous hashing.
+        Uses rendezvous hashing of its last segment.
         """
         if not part:
             part = str(self.rng.random())
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -30,8 +30,10 @@
 ):
     admission = decisions.AdmissionController()
     admission.waiting['s'] = waiting
-    per_s = 0.7 * engines
-    estimate = decisions.CapacityEstimate(first_s, idle, engines, per_s)
+    completions_per_s = 0.7 * engines
+    estimate = decisions.CapacityEstimate(
+        first_s, idle, engines, completions_per_s
+    )
     return admission.decide(
         estimate,
         waited_s=waited,
@@ -145,8 +147,8 @@
             backend.reading = PROMPT * len(engine.queue)
             backend.memory = MEMORY * backend.inflight
         overloaded = 4.0 <= now < 11.0
-        per_s = rate if overloaded else 2.5
-        if now < seconds and rng.random() < per_s * STEP_S:
+        arrivals_per_s = rate if overloaded else 2.5
+        if now < seconds and rng.random() < arrivals_per_s * STEP_S:
             stream = {'at': now, 'first': None, 'unread': 1.0}
             streams.append(stream)
             waiting_streams.append(stream)
@@ -232,13 +234,13 @@
         backend.memory = 10_000
     context.placement.last_report_at = context.clock()
     context.admission.waiting['engines'] = 200
-    begun = context.clock()
+    started_at = context.clock()
     with pytest.raises(errors.RequestError) as caught:
         await fakes.run_stream(context, wait_s=25.0)
     assert caught.value.status == 503
     assert caught.value.ran is errors.Ran.NO
     assert caught.value.retry_after == 8.0
-    assert context.clock() - begun < 0.5
+    assert context.clock() - started_at < 0.5
     assert client.log == []
     assert context.admission.waiting['engines'] == 200
 
@@ -290,10 +292,10 @@
 ):
     # Guards against waiting in vain before the refusal.
     context.placement.capacity = {'engines': 5000}
-    begun = context.clock()
+    started_at = context.clock()
     with pytest.raises(errors.RequestError) as caught:
         await fakes.run_stream(context, wait_s=25.0)
-    assert context.clock() - begun < 0.5
+    assert context.clock() - started_at < 0.5
     assert caught.value.status == 503
     assert caught.value.ran is errors.Ran.NO
     assert client.log == []
--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -51,11 +51,11 @@
         placement.speeds.record_run('s', 9.0, 3.0)
         loads.take(placement.load_report(f'e{number}', {}, 3.0), 3.0)
     last = decisions.EngineSpeeds()
-    last.apply_loads(loads.summary_for('e99', 0).speeds)
+    last.apply_remote_samples(loads.summary_for('e99', 0).speeds)
     assert 8000 * last.token_s('s', OBJECTIVE, 3.0) > 2.7
     assert last.run_s('s', 3.0) == pytest.approx(9.0)
     own = decisions.EngineSpeeds()
-    own.apply_loads(loads.summary_for('e1', 0).speeds)
+    own.apply_remote_samples(loads.summary_for('e1', 0).speeds)
     assert own.remote['s'].runs == pytest.approx(9.0)
 
 
@@ -65,7 +65,7 @@
     others = messages.EngineSpeed(
         80_000, 10 * READ_S, 1000, 1000 * PAUSE_S, 1000 * PAUSE_S**2
     )
-    speeds.apply_loads({'s': others})
+    speeds.apply_remote_samples({'s': others})
     before = speeds.token_s('s', OBJECTIVE, 10.0)
     add_reads(speeds, 60.0, 10.0)
     assert speeds.token_s('s', OBJECTIVE, 70.0) < 1.5 * before
