--- a/src/bulrushhold/decisions/_claims.py
+++ b/src/bulrushhold/decisions/_claims.py
@@ -18,7 +18,10 @@
 
 @attrs.define
 class ClaimRecord:
-    """State of one claim in the replicated log."""
+    """State of one claim.
+
+    :param ran: whether the call was executed, ``unknown`` until it ends.
+    """
 
     holder: str
     key_time: float
--- a/src/bulrushhold/decisions/_controlservers.py
+++ b/src/bulrushhold/decisions/_controlservers.py
@@ -22,6 +22,7 @@
     all known processes.
 
     :param seeds: addresses from the settings; may be out of date.
+    :ivar core: addresses of the log replicas.
     """
 
     def __init__(
--- a/src/bulrushhold/decisions/_copies.py
+++ b/src/bulrushhold/decisions/_copies.py
@@ -13,9 +13,10 @@
 class Pointer:
     """Pointer from a key to the entry that serves it.
 
-    :param since: epoch in which the current text began.
-    :param authoritative: this home has run long enough to know of any
-        earlier use of the key, or was told when the text began.
+    :param copies: addresses that may hold a copy of the transcript.
+    :param since: epoch in which the current text was started.
+    :param authoritative: this home can't have missed an earlier use of the
+        key: it had run for long enough, or knows when the text was started.
     """
 
     epoch: int
@@ -57,35 +58,35 @@
     def homes_changed(self, now: float) -> None:
         """Record that this entry may now be the home of other keys.
 
-        Until they have been refreshed or have expired, a missing key doesn't
-        prove that it was never used.
+        Until their pointers have been refreshed or have expired, a missing
+        pointer doesn't prove that the key was never used.
         """
         self.authoritative_from = now + self.keep_s
 
     def take_pointer(
-        self, take: messages.PointerTake, now: float
+        self, request: messages.PointerTake, now: float
     ) -> messages.PointerState:
-        """Register the asking entry unless its epoch is outdated."""
-        pointer = self.pointers.get(take.key)
+        """Register the requesting entry unless its epoch is outdated."""
+        pointer = self.pointers.get(request.key)
         if pointer is None:
-            # A home that has just started may lack existing keys.
+            # A home that has just started may lack existing pointers.
             authoritative = now >= self.authoritative_from
-            self.pointers[take.key] = Pointer(
-                take.epoch,
-                take.fingerprint,
-                take.copies,
-                take.epoch if take.begins else take.since,
-                authoritative or take.begins or take.since > 0,
+            self.pointers[request.key] = Pointer(
+                request.epoch,
+                request.fingerprint,
+                request.copies,
+                request.epoch if request.begins else request.since,
+                authoritative or request.begins or request.since > 0,
                 now,
             )
             return messages.PointerState(
-                True, take.epoch, [], 0, authoritative
+                True, request.epoch, [], 0, authoritative
             )
         pointer.used_at = now
         former_copies = pointer.copies
         since = pointer.since
-        mismatch = pointer.fingerprint != take.fingerprint
-        if mismatch or take.epoch < pointer.epoch:
+        mismatch = pointer.fingerprint != request.fingerprint
+        if mismatch or request.epoch < pointer.epoch:
             return messages.PointerState(
                 False,
                 pointer.epoch,
@@ -94,22 +95,22 @@
                 pointer.authoritative,
                 mismatch,
             )
-        pointer.epoch = take.epoch
+        pointer.epoch = request.epoch
         authoritative = pointer.authoritative
-        if take.since:
+        if request.since:
             pointer.authoritative = True
-            pointer.since = max(pointer.since, take.since)
-        if take.begins:
+            pointer.since = max(pointer.since, request.since)
+        if request.begins:
             pointer.authoritative = True
-            pointer.since = take.epoch
-            pointer.copies = take.copies
+            pointer.since = request.epoch
+            pointer.copies = request.copies
         else:
             # The former copies stay listed until the new ones are complete, in
             # case the new entry fails before that.
-            merged = dict.fromkeys(take.copies + former_copies)
+            merged = dict.fromkeys(request.copies + former_copies)
             pointer.copies = list(merged)[:MAX_COPY_ADDRESSES]
         return messages.PointerState(
-            True, take.epoch, former_copies, since, authoritative
+            True, request.epoch, former_copies, since, authoritative
         )
 
     def append_all(
@@ -118,9 +119,9 @@
         """Apply a batch and return the appends that weren't stored."""
         rejected = []
         for number, append in enumerate(batch.appends):
-            ok, length = self.append(append, now)
-            if not ok or length != append.offset + len(append.tokens):
-                rejected.append(messages.CopyAck(number, ok, length))
+            allowed, length = self.append(append, now)
+            if not allowed or length != append.offset + len(append.tokens):
+                rejected.append(messages.CopyAck(number, allowed, length))
         return messages.CopyBatchAck(rejected)
 
     def append(
@@ -153,20 +154,22 @@
         copy.finish = append.finish
         return True, len(copy.tokens)
 
-    def take(self, take: messages.CopyTake, now: float) -> messages.CopyState:
+    def take(
+        self, request: messages.CopyTake, now: float
+    ) -> messages.CopyState:
         """Return a copy and fence the entry that wrote it.
 
         A missing copy is created empty to hold the fence: a late append of
         the former entry must not create one.
         """
-        copy = self.copies.get(take.key)
+        copy = self.copies.get(request.key)
         if copy is None:
             copy = TranscriptCopy(0, 0, [], '', '', now)
-            self.copies[take.key] = copy
+            self.copies[request.key] = copy
         copy.used_at = now
-        if take.epoch < copy.fence:
+        if request.epoch < copy.fence:
             return messages.CopyState(False, copy.fence)
-        copy.fence = take.epoch
+        copy.fence = request.epoch
         return messages.CopyState(
             True,
             copy.fence,
@@ -177,9 +180,9 @@
         )
 
     def expire(self, now: float) -> None:
-        """Remove everything unused for ``keep_s``."""
+        """Remove pointers and copies unused for ``keep_s``."""
         oldest = now - self.keep_s
         for store in (self.pointers, self.copies):
-            old = [k for k, item in store.items() if item.used_at < oldest]
-            for key in old:
+            expired = [k for k, item in store.items() if item.used_at < oldest]
+            for key in expired:
                 del store[key]
--- a/src/bulrushhold/decisions/_enginecrashes.py
+++ b/src/bulrushhold/decisions/_enginecrashes.py
@@ -19,10 +19,10 @@
 class EngineCrashTracker:
     """Counts engine crashes per request content.
 
-    Every request that runs on a crashing engine becomes a suspect. Suspects
-    are retried on separate engines, so that another crash identifies the
-    poison request. A crash with several suspects identifies none of them and
-    isn't counted.
+    Every request that runs on a crashing engine may be a poison request. Such
+    requests are retried on separate engines, so that another crash identifies
+    the poison request. A crash with several of them identifies none and isn't
+    counted.
     """
 
     crashes: dict[str, int] = attrs.field(factory=dict)
@@ -32,7 +32,7 @@
         return fingerprint in self.crashes
 
     def add_reported(self, fingerprints: cabc.Iterable[str]) -> None:
-        """Add suspects reported by other entries."""
+        """Add possible poison requests reported by other entries."""
         for fingerprint in fingerprints:
             self.crashes.setdefault(fingerprint, 1)
 
--- a/src/bulrushhold/decisions/_quota.py
+++ b/src/bulrushhold/decisions/_quota.py
@@ -48,13 +48,13 @@
         self.grants_allowed_at = now + LEASE_S
 
     def homes_changed(self, now: float) -> None:
-        """Delay first grants after rows may have moved from other homes."""
+        """Delay the first grants of rows that may have had another home."""
         self.grants_allowed_at = now + LEASE_S
 
     def grant(
         self, ask: messages.QuotaAsk, row: messages.Row, now: float
     ) -> messages.QuotaGrant:
-        """Grant a lease from what isn't held by other leases.
+        """Grant a lease from the part of the limits that isn't leased.
 
         A row seen for the first time shortly after the entries changed may
         have leases from its previous home. Nothing is granted for it until
--- a/src/bulrushhold/decisions/_routing.py
+++ b/src/bulrushhold/decisions/_routing.py
@@ -45,7 +45,7 @@
     :param listed: whether the platform's list contains it.
     :param draining_until: monotonic seconds until which it gets no requests
         after it announced its shutdown.
-    :param suspects: running requests that may be poison requests.
+    :param suspects: number of running requests that may be poison requests.
     :param gaps: estimate of its inter-token latency.
     """
 
@@ -179,9 +179,9 @@
         :param version: model version required to continue an answer, or
             ``''`` for any.
         :param avoid: engines that already failed this request.
-        :param suspect: whether this may be a poison request. It is then
-            preferably kept apart from other suspects, so that another crash
-            identifies it.
+        :param may_be_poison: whether an engine crashed while running this
+            request. It is then kept apart from other such requests if
+            possible, so that another crash identifies the poison request.
         """
 
         def eligible(state: BackendState) -> bool:
--- a/src/bulrushhold/decisions/_serviceretries.py
+++ b/src/bulrushhold/decisions/_serviceretries.py
@@ -20,9 +20,8 @@
 # Share of the shared budget up to which an entry may exceed its local one. The
 # rest covers retries that other entries haven't reported yet.
 SHARED_LIMIT: t.Final = 0.7
-# A started stream can't be refused without losing what its caller received,
-# while one that hasn't started is refused as not run and can be retried by the
-# caller.
+# Refusing to retry a started stream loses the events that its caller received;
+# a stream without events is refused as not run, and its caller can retry it.
 SHARED_LIMIT_STARTED: t.Final = 0.9
 LOAD_REPORT_TTL_S: t.Final = 2.0
 
@@ -54,7 +53,7 @@
     def take(self, service: str, now: float, *, begun: bool = False) -> bool:
         """Return whether a retry is allowed, and count it if so.
 
-        :param begun: the caller has received a part of the answer.
+        :param begun: the caller has received some events.
         """
         requests = len(self._recent(self.request_times, service, now))
         retries = self._recent(self.retry_times, service, now)
--- a/src/bulrushhold/decisions/_stalltimeouts.py
+++ b/src/bulrushhold/decisions/_stalltimeouts.py
@@ -1,8 +1,8 @@
-"""Stall timeouts: when to probe a silent engine and when to abandon it.
+"""Stall timeouts: when to probe a stalled engine and when to abandon it.
 
-An engine that fails a probe is abandoned at once. One that answers is merely
-busy, and resuming the stream elsewhere costs time and delays other streams.
-So a stream waits up to twice the expected cost of resuming it, which bounds
+An engine that fails a probe is abandoned at once. One that answers is only
+busy, and resuming the stream elsewhere takes time and delays other streams.
+So a stream waits up to twice the expected time of resuming it, which bounds
 the total wait to a constant factor of the optimum (ski rental problem; Karlin
 et al., Competitive snoopy caching, 1988). If all engines are slow, the
 timeouts grow with them, so that failovers don't add to an overload.
@@ -36,7 +36,7 @@
 
     @property
     def probe_after_s(self) -> float:
-        """Silence after which the engine is probed.
+        """Idle time after which the engine is probed.
 
         Early enough for the next event to come from another engine within
         the longest pause allowed, but not at every pause, which would keep
@@ -49,14 +49,14 @@
         )
 
     def failover_timeout_s(self) -> float:
-        """Return the silence after which the stream fails over to its copy."""
+        """Return the idle time after which a stream resumes from its copy."""
         return max(
             MAX_WAIT_RATIO * self.long_pause_s,
             FAILOVER_GAP_SHARE * self.gap_s,
         )
 
     def reread_timeout_s(self, elsewhere_s: float) -> float:
-        """Return the silence after which another engine reads the prompt.
+        """Return the idle time after which another engine reads the prompt.
 
         :param elsewhere_s: time until another engine would have read it.
         """
@@ -66,7 +66,7 @@
 def first_event_timeout_s(here_s: float, elsewhere_s: float) -> float:
     """Return the timeout of the first event of a stream.
 
-    :param here_s: time expected when the prompt was sent.
+    :param here_s: time to the first event expected when the prompt was sent.
     :param elsewhere_s: time until another engine would have read it.
     """
     return MAX_WAIT_RATIO * max(here_s, elsewhere_s)
--- a/src/bulrushhold/decisions/_statemachine.py
+++ b/src/bulrushhold/decisions/_statemachine.py
@@ -19,7 +19,8 @@
     :param quarantined: request fingerprint to the reason for quarantine.
     :param suspects: fingerprint of a possible poison request to the number
         of engine crashes that it was running in.
-    :param refusals_revision: incremented when either of the two changes.
+    :param refusals_revision: incremented when ``quarantined`` or ``suspects``
+        changes.
     """
 
     table: _table.TableState = attrs.field(factory=_table.TableState)
@@ -91,7 +92,7 @@
         self.refusals_revision += 1
 
     def refusals(self) -> messages.Refusals:
-        """Return the fingerprints that entries must refuse or isolate."""
+        """Return the requests that entries must refuse or keep apart."""
         return messages.Refusals(
             sorted(self.quarantined), sorted(self.suspects)
         )
--- a/src/bulrushhold/decisions/_swim.py
+++ b/src/bulrushhold/decisions/_swim.py
@@ -2,7 +2,8 @@
 
 Implements SWIM (Das, Gupta and Motivala, 2002) with incarnation numbers. In
 each period an entry probes one member, directly and then through a few
-others. A member that doesn't answer is suspected, and may refute that.
+others. A member that doesn't answer is suspected, and declared dead unless it
+refutes the suspicion in time.
 Updates are piggybacked on probes. Only entries in the platform's list, which
 may lag, can be members.
 """
@@ -19,6 +20,7 @@
 from bulrushhold import ports
 
 PERIOD_S: t.Final = 1.0
+# Timeout of one probe between two entries.
 PROBE_S: t.Final = 0.3
 SUSPICION_TIMEOUT_S: t.Final = 2.0
 INDIRECT_PROBES: t.Final = 3
@@ -101,10 +103,10 @@
         )
 
     def next_target(self) -> ports.Instance | None:
-        """Return the next member to probe: round-robin, reshuffled each time.
+        """Return the next member to probe, in an order reshuffled each round.
 
-        Dead members are probed too, so that both sides find each other
-        again after a network partition.
+        Dead members are probed too, so that the groups merge again after a
+        network partition.
         """
         while True:
             if not self.probe_order:
--- a/src/bulrushhold/decisions/_takeover.py
+++ b/src/bulrushhold/decisions/_takeover.py
@@ -19,8 +19,9 @@
     """Combined answers of a key's pointer homes.
 
     :param majority: whether a majority of the homes answered.
-    :param sure: whether a majority would know the key if it had been used.
-    :param epoch: highest epoch in force.
+    :param sure: whether a majority of the homes would know of any earlier use
+        of the key.
+    :param epoch: highest epoch registered at a home.
     :param since: epoch in which the latest text was started.
     :param former: addresses that may hold a copy.
     :param mismatch: whether the key was used for another request.
