--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -26,10 +26,12 @@
         self.now = 100.0
         self.voters = voters
         self.isolated = set()
-        founders = {f'{n}.founder': n for n in names}
+        initial_voters = {f'{n}.founder': n for n in names}
         self.replicas = {}
         for name in names:
-            self.start(f'{name}.founder', messages.Config(voters=founders))
+            self.start(
+                f'{name}.founder', messages.Config(voters=initial_voters)
+            )
 
     def start(self, ident, founding):
         self.replicas[ident] = decisions.Replica(
@@ -260,8 +262,8 @@
         self.handlers[kind] = handler
 
     def put_route_map(self, version):
-        order = messages.RouteMapPut(version, b'map', b'source')
-        self.state.apply(messages.encode(order))
+        command = messages.RouteMapPut(version, b'map', b'source')
+        self.state.apply(messages.encode(command))
         for hook in self.applied_hooks:
             hook()
 
--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -50,13 +50,13 @@
         add_reads(placement.speeds, 3.0, 0.0)
         placement.speeds.record_run('s', 9.0, 3.0)
         loads.take(placement.load_report(f'e{number}', {}, 3.0), 3.0)
-    last = decisions.EngineSpeeds()
-    last.apply_remote_samples(loads.summary_for('e99', 0).speeds)
-    assert 8000 * last.token_s('s', OBJECTIVE, 3.0) > 2.7
-    assert last.run_s('s', 3.0) == pytest.approx(9.0)
-    own = decisions.EngineSpeeds()
-    own.apply_remote_samples(loads.summary_for('e1', 0).speeds)
-    assert own.remote['s'].runs == pytest.approx(9.0)
+    combined = decisions.EngineSpeeds()
+    combined.apply_remote_samples(loads.summary_for('e99', 0).speeds)
+    assert 8000 * combined.token_s('s', OBJECTIVE, 3.0) > 2.7
+    assert combined.run_s('s', 3.0) == pytest.approx(9.0)
+    excluding_own = decisions.EngineSpeeds()
+    excluding_own.apply_remote_samples(loads.summary_for('e1', 0).speeds)
+    assert excluding_own.remote['s'].runs == pytest.approx(9.0)
 
 
 def test_one_paused_entry_hardly_changes_the_estimates():
@@ -113,7 +113,8 @@
     idle_pause_s, reading_pause_s = PAUSE_S / speed, 4 * PAUSE_S / speed
     add_pauses(speeds, 0.0, *[idle_pause_s] * 200, *[reading_pause_s] * 60)
     typical_pause_s, long_pause_s = (
-        speeds.pause_s('s', OBJECTIVE, 0.0, d) for d in (1.5, 4.0)
+        speeds.pause_s('s', OBJECTIVE, 0.0, deviations)
+        for deviations in (1.5, 4.0)
     )
     timeouts = decisions.StallTimeouts(
         typical_pause_s, long_pause_s, OBJECTIVE.gap_s, 0.18
--- a/tests/test_loadreports.py
+++ b/tests/test_loadreports.py
@@ -227,13 +227,13 @@
     node = network.nodes['n0']
     node.take(report('e1', 'i1'), 0.0)
     node.take(report('e2'), 0.0)
-    views = {}
+    summaries = {}
     for entry in ('e1', 'e2'):
-        views[entry] = network.summary('n0', entry)
+        summaries[entry] = network.summary('n0', entry)
     node.take(report('e1'), 0.0)
     node.take(report('e2', 'i1'), 0.0)
-    first = network.summary('n0', 'e1', views['e1'].number)
-    second = network.summary('n0', 'e2', views['e2'].number)
+    first = network.summary('n0', 'e1', summaries['e1'].number)
+    second = network.summary('n0', 'e2', summaries['e2'].number)
     assert first.engines['i1'].running == 1
     assert second.engines['i1'].running == 0
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -190,14 +190,14 @@
 
 def test_a_load_summary_excludes_the_entry_that_asks():
     loads = decisions.LoadAggregator()
-    use = messages.EngineLoad(8000, 1)
+    load = messages.EngineLoad(8000, 1)
     traffic = {'engines': messages.ServiceTraffic(10, 2)}
-    loads.take(messages.LoadReport('e1', {'i1': use}, [], [], traffic), 0.0)
+    loads.take(messages.LoadReport('e1', {'i1': load}, [], [], traffic), 0.0)
     update = messages.LoadReport(
-        'e2', {'i1': use, 'i2': use}, ['i9'], ['i8'], traffic
+        'e2', {'i1': load, 'i2': load}, ['i9'], ['i8'], traffic
     )
     assert loads.take(update, 0.0)
-    assert loads.summary_for('e1', 0).engines == {'i1': use, 'i2': use}
+    assert loads.summary_for('e1', 0).engines == {'i1': load, 'i2': load}
     total = loads.summary_for('e3', 0)
     assert total.engines['i1'] == messages.EngineLoad(16000, 2)
     assert total.traffic == {'engines': messages.ServiceTraffic(20, 4)}
@@ -285,7 +285,7 @@
 
 def test_a_retry_through_another_entry_reaches_the_cached_prompt():
     # Guards against reading a prompt again when the caller's entry is lost.
-    same = 0
+    reached_cache = 0
     for number in range(40):
         first, second = (
             make_placement(engines=18),
@@ -301,8 +301,10 @@
         holders = second.likely_cache_holders('engines', part, 1.0)
         assert engine.ident in {holder.ident for holder in holders}
         second.record_read(part, engine.ident, 1.0)
-        same += choose_engine(second, now=1.0, part=part).ident == engine.ident
-    assert same == 40
+        reached_cache += (
+            choose_engine(second, now=1.0, part=part).ident == engine.ident
+        )
+    assert reached_cache == 40
 
 
 def test_an_idle_engine_without_free_memory_is_not_chosen():
--- a/tests/test_replica_restarts.py
+++ b/tests/test_replica_restarts.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests import test_replica as log
+from tests import test_replica as simulation
 
 
 def restart(cluster, *names):
@@ -35,36 +35,37 @@
 def test_leader_resumes_after_a_full_restart(size):
     # After a full restart no lease can be held, so the last leader need not
     # wait for the election timeout. Entries can't start without a leader.
-    cluster = log.stable_cluster(size)
+    cluster = simulation.stable_cluster(size)
     former = cluster.leader().ident
     restart(cluster, *cluster.disks)
-    assert time_to_leader(cluster) <= 3 * log.TIMING.heartbeat_s
+    assert time_to_leader(cluster) <= 3 * simulation.TIMING.heartbeat_s
     assert cluster.leader().ident == former
 
 
 def test_restarted_leader_resumes_leadership():
-    cluster = log.stable_cluster(3)
+    cluster = simulation.stable_cluster(3)
     former = cluster.leader().ident
     restart(cluster, former)
-    assert time_to_leader(cluster) <= 3 * log.TIMING.heartbeat_s
+    assert time_to_leader(cluster) <= 3 * simulation.TIMING.heartbeat_s
     assert cluster.leader().ident == former
 
 
 def test_restarted_followers_respect_the_lease():
     # The suspended leader still holds its lease, so the restarted followers
     # must not elect another leader before it expires.
-    cluster = log.stable_cluster(3)
+    cluster = simulation.stable_cluster(3)
     suspended = cluster.leader().ident
     others = [name for name in cluster.disks if name != suspended]
     restart(cluster, *others)
     assert (
-        time_to_leader(cluster, suspended=(suspended,)) >= log.TIMING.lease_s
+        time_to_leader(cluster, suspended=(suspended,))
+        >= simulation.TIMING.lease_s
     )
 
 
 def test_replaced_leader_waits_for_the_election_timeout():
     # Another replica has led since then and may hold a lease.
-    cluster = log.stable_cluster(3)
+    cluster = simulation.stable_cluster(3)
     former = cluster.leader().ident
     assert time_to_leader(cluster, suspended=(former,)) < 5.0
     cluster.heal(1.0)
@@ -72,5 +73,5 @@
     assert newer != former
     assert cluster.replicas[former].term_leader == newer
     restart(cluster, former)
-    least = cluster.now + log.TIMING.election_s
+    least = cluster.now + simulation.TIMING.election_s
     assert cluster.replicas[former].election_at >= least
--- a/tests/test_replica_search.py
+++ b/tests/test_replica_search.py
@@ -9,7 +9,7 @@
 import pytest
 
 from bulrushhold import decisions
-from tests import test_replica as log
+from tests import test_replica as simulation
 
 SEEDS = 120
 START_SEEDS = 400
@@ -50,7 +50,7 @@
 
 
 def make_cluster(seed, size, bug):
-    cluster = log.Cluster(seed, size, bug=bug)
+    cluster = simulation.Cluster(seed, size, bug=bug)
     cluster.fault_free = True
     cluster.delayed = []
     return cluster
@@ -150,7 +150,7 @@
     for seed in range(PROFILES[profile]):
         try:
             profile(seed, '')
-        except log.InvariantViolation as error:
+        except simulation.InvariantViolation as error:
             pytest.fail(f'{profile.__name__}, seed {seed}: {error}')
 
 
@@ -160,7 +160,7 @@
     for seed in range(PROFILES[BUG_PROFILES[bug]]):
         try:
             BUG_PROFILES[bug](seed, bug)
-        except log.InvariantViolation:
+        except simulation.InvariantViolation:
             found += 1
     assert found >= 2, f'{bug}: {found} schedules'
 
@@ -168,7 +168,7 @@
 def test_only_the_logged_leader_resumes_after_a_restart():
     # Only a replica that led according to the log may skip the election
     # timeout, not one that merely voted for itself.
-    cluster = log.Cluster(3, 3)
+    cluster = simulation.Cluster(3, 3)
     cluster.heal(5.0)
     leader = cluster.leader().ident
     for name in cluster.disks:
--- a/tests/test_takeover_orders.py
+++ b/tests/test_takeover_orders.py
@@ -233,8 +233,8 @@
         if not self.received:
             return
         text = self.received[0].partition(':')[0]
-        wanted = [f'{text}:{n}' for n in range(len(self.received))]
-        if self.received != wanted:
+        expected = [f'{text}:{n}' for n in range(len(self.received))]
+        if self.received != expected:
             raise MixedTexts(str(self.received))
 
     def run(self):
