--- a/src/bulrushhold/decisions/_recovery.py
+++ b/src/bulrushhold/decisions/_recovery.py
@@ -32,8 +32,10 @@
             self.mean += _MEAN_GAIN * error
         self.samples += 1
 
-    def limit(self, factor: float, minimum: float, maximum: float) -> float:
-        """Return the stall timeout in seconds.
+    def stall_timeout(
+        self, factor: float, minimum: float, maximum: float
+    ) -> float:
+        """Return the stall timeout in seconds, within the bounds.
 
         ``maximum`` until there are enough samples.
         """
@@ -111,7 +113,9 @@
         """
         if not started:
             return self.first_token_s
-        return gaps.limit(self.gap_factor, self.min_gap_s, self.max_gap_s)
+        return gaps.stall_timeout(
+            self.gap_factor, self.min_gap_s, self.max_gap_s
+        )
 
     @abc.abstractmethod
     def check_after(self, gaps: GapEstimate, *, started: bool) -> float:
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -269,8 +269,8 @@
 
 
 def test_outdated_memory_reports_do_not_block_admission():
-    # Guards against streams that wait beside idle engines once load reports
-    # have ceased.
+    # Guards against streams that wait although engines are idle, once load
+    # reports have ceased.
     placement = decisions.Placement(random.Random(1))
     placement.capacity = {'s': CAPACITY}
     placement.update([messages.ListedBackend('i0', 's', 'h0:1', 'dc0', 64)])
@@ -290,7 +290,7 @@
 async def test_a_prompt_too_large_for_any_engine_is_refused_at_once(
     client, context
 ):
-    # Guards against waiting in vain before the refusal.
+    # Guards against a refusal only after the maximum wait.
     context.placement.capacity = {'engines': 5000}
     started_at = context.clock()
     with pytest.raises(errors.RequestError) as caught:
@@ -326,7 +326,7 @@
 
 @pytest.mark.parametrize('entries', [2, 8, 40, 200])
 def test_concurrent_entries_do_not_overfill_one_free_engine(entries):
-    """Guards against many prompts on one engine that all entries see idle."""
+    """Guards against prompts of all entries on the one free engine."""
     admitted = [admit_concurrently(entries, seed) for seed in range(40)]
     assert statistics.mean(admitted) <= 1.5
     assert max(admitted) <= 5
@@ -338,7 +338,7 @@
 
 
 def test_a_started_stream_is_admitted_before_new_ones():
-    """Guards against growing pauses while new streams are placed."""
+    """Guards against stalling a started stream while placing new ones."""
     admission = decisions.AdmissionController()
     admission.waiting['s'] = 100
     estimate = decisions.CapacityEstimate(1.0, True, 9, 6.0)
--- a/tests/forwarding/test_poison_requests.py
+++ b/tests/forwarding/test_poison_requests.py
@@ -40,7 +40,7 @@
 
 
 def test_correlated_losses_block_no_request():
-    # Losses of a whole data centre, three times under the same stream.
+    # Each time, the whole data centre fails together with the engine.
     detector = make_detector(nearby_losses=5)
     add_crashes(detector, 'innocent', ['i0', 'i1', 'i2'])
     assert detector.remaining_block_s('innocent', 10.0) == 0
--- a/tests/forwarding/test_stall_timeouts.py
+++ b/tests/forwarding/test_stall_timeouts.py
@@ -71,8 +71,8 @@
 async def test_a_paused_entry_reads_buffered_events_before_it_times_out(
     client, context, monkeypatch
 ):
-    # Guards against counting a pause of the entry itself as the engine's
-    # silence: events wait in the socket, and the stream would be retried.
+    # Guards against counting a pause of the entry itself as a stall of the
+    # engine: events wait in the socket, and the stream would be retried.
     client.scripts = [
         fakes.Script(events=(1, 2, 3)),
         fakes.Script(events=(3,)),
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -98,7 +98,7 @@
 
 
 def test_suspended_leader_loses_its_lease(network):
-    # Guards against a resumed leader that serves an old route map. With a
+    # Guards against a resumed leader that serves an outdated route map. With a
     # clock that stops during suspension, its lease would seem valid.
     suspended = network.leader()
     assert suspended.lease_holds(network.now)
@@ -135,8 +135,8 @@
 
 
 def test_lost_voter_is_replaced_by_a_new_instance(network):
-    # A voter is lost for good and an empty instance joins at another address.
-    # The cluster must then survive the loss of another voter.
+    # An empty instance joins at another address after the permanent loss of a
+    # voter. The cluster must then survive the loss of another voter.
     lost = next(i for i in network.replicas if i != network.leader().ident)
     network.isolated.add(lost)
     del network.replicas[lost]
@@ -342,8 +342,8 @@
 
 
 async def test_disk_failure_does_not_end_the_process(tmp_path, monkeypatch):
-    # The disk is full for a while. Once writes succeed again, the replica
-    # restarts from its log and keeps what it acknowledged.
+    # Once writes to a full disk succeed again, the replica must restart from
+    # its log and keep what it acknowledged.
     port = settings.Address('127.0.0.1', 45873)
     config = settings.Control(
         'c1',
--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -93,7 +93,7 @@
 
 
 def test_an_excluded_engine_does_not_affect_the_estimate():
-    # A single stalled engine, with its pending reads.
+    # One engine is stalled, so that its reads stay pending.
     speeds = decisions.EngineSpeeds()
     add_reads(speeds, READ_S, 0.0, count=10)
     readings = [speeds.start_read('s', 'stuck', 8000, 10.0) for _ in range(4)]
@@ -107,8 +107,8 @@
 @pytest.mark.parametrize('speed', SPEEDS)
 def test_stall_timeouts_fit_engines_of_any_speed(speed):
     # Pauses grow while the engine reads a prompt. A healthy engine must not be
-    # abandoned for that, and a dead one must be detected early enough for the
-    # longest pause allowed, if the usual pauses leave the time.
+    # abandoned for that. A crashed one must be detected within the longest
+    # pause allowed, unless the usual pauses are nearly as long.
     speeds = decisions.EngineSpeeds()
     idle_pause_s, reading_pause_s = PAUSE_S / speed, 4 * PAUSE_S / speed
     add_pauses(speeds, 0.0, *[idle_pause_s] * 200, *[reading_pause_s] * 60)
--- a/tests/test_loadreports.py
+++ b/tests/test_loadreports.py
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize('seed', range(8))
 def test_events_are_delivered_over_lossy_links(seed):
-    """Guards against losses that only one data centre knows of."""
+    """Guards against events that reach only some data centres."""
     network = Network(5, seed, loss=0.5)
     network.exchange(5)
     network.nodes['n0'].take(
@@ -103,7 +103,7 @@
 
 
 def test_an_event_after_a_process_restart_is_new(network):
-    """Guards against ignoring events as a restart resets their numbers."""
+    """Guards against ignored events: a restart resets their numbers."""
     network.nodes['n0'].take(report('e1', 'i1'), network.now)
     for number in range(9):
         network.nodes['n0'].take(report('e1', f'i{number}'), network.now)
@@ -115,8 +115,10 @@
     assert network.summary('n1', since=known_number).lost == ['i7']
 
 
-def test_a_partitioned_data_centre_keeps_its_load_for_a_while(network):
-    """Guards against prompts for engines that only look idle."""
+def test_the_load_of_a_partitioned_data_centre_counts_until_it_expires(
+    network,
+):
+    """Guards against prompts for engines that only seem to be idle."""
     for number, name in enumerate(network.nodes):
         network.nodes[name].take(report(f'e{number}', 'i1'), 0.0)
     network.exchange(4)
@@ -223,7 +225,7 @@
 
 
 def test_load_that_moves_between_entries_is_reported_to_both(network):
-    """Guards against differences that omit engines with equal totals."""
+    """Guards against omitting engines whose total load is unchanged."""
     node = network.nodes['n0']
     node.take(report('e1', 'i1'), 0.0)
     node.take(report('e2'), 0.0)
@@ -238,7 +240,7 @@
     assert second.engines['i1'].running == 0
 
 
-def test_a_small_change_is_a_small_message(network):
+def test_only_changed_loads_are_sent(network):
     """Guards against sending loads that haven't changed."""
     node = network.nodes['n0']
     node.take(report('e1', *(f'i{n}' for n in range(200))), 0.0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Choosing engines for requests and copies; retry budgets; load summaries."""
+"""Choice of engines for requests and copies; retry budgets; load summaries."""
 
 import random
 
@@ -308,7 +308,7 @@
 
 
 def test_an_idle_engine_without_free_memory_is_not_chosen():
-    """Guards against prompts that wait for memory beside empty engines."""
+    """Guards against prompts that wait although other engines are empty."""
     placement = make_placement(30)
     placement.capacity = {'engines': 88_000}
     ranks = placement._affinity_ranks('engines', 'p', set())
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -147,8 +147,8 @@
         if not self.network:
             return
         # Mostly in order, like TCP; sometimes reordered.
-        late = self.rng.random() < 0.3
-        number = self.rng.randrange(len(self.network)) if late else 0
+        reordered = self.rng.random() < 0.3
+        number = self.rng.randrange(len(self.network)) if reordered else 0
         sender, receiver, message = self.network.pop(number)
         if self.rng.random() < 0.02:
             self.network.append((sender, receiver, message))
@@ -462,8 +462,8 @@
 def test_lagging_follower_gets_the_snapshot():
     cluster = stable_cluster()
     leader = cluster.leader().ident
-    late = next(n for n in cluster.disks if n != leader)
-    cluster.crash(late)
+    lagging = next(n for n in cluster.disks if n != leader)
+    cluster.crash(lagging)
     for _ in range(20):
         cluster.propose()
         for _ in range(20):
@@ -471,4 +471,4 @@
     cluster.compact(leader)
     assert cluster.replicas[leader].log.snapshot.index > 5
     cluster.heal(3.0)
-    assert cluster.replicas[late].commit == cluster.replicas[leader].commit
+    assert cluster.replicas[lagging].commit == cluster.replicas[leader].commit
--- a/tests/test_replica_restarts.py
+++ b/tests/test_replica_restarts.py
@@ -33,8 +33,8 @@
 
 @pytest.mark.parametrize('size', [3, 5])
 def test_leader_resumes_after_a_full_restart(size):
-    # After a full restart no lease can be held, so the last leader need not
-    # wait for the election timeout. Entries can't start without a leader.
+    # Guards against entries that can't start for an election timeout: after a
+    # full restart no lease is held, so the last leader need not wait.
     cluster = simulation.stable_cluster(size)
     former = cluster.leader().ident
     restart(cluster, *cluster.disks)
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Table edits: conflicts, resends, CSV parsing and lost control."""
+"""Table edits: conflicts, resends, CSV parsing and loss of control."""
 
 import attrs
 import pytest
