--- a/src/bulrushhold/decisions/_placement.py
+++ b/src/bulrushhold/decisions/_placement.py
@@ -121,7 +121,7 @@
         """
         cached = self.engine_with_prompt(part, now)
         ranks = self._affinity_ranks(service, part, tried)
-        prompt = max(1, tokens)
+        prompt_tokens = max(1, tokens)
 
         def wait(backend: _backendserver.BackendServer) -> float:
             rank = ranks.get(backend.ident, AFFINITY_CANDIDATES)
@@ -129,7 +129,7 @@
             others = self.current_remote_load(backend, now)
             prompts = (
                 backend.reading + others.reading + uncached_tokens
-            ) / prompt
+            ) / prompt_tokens
             running = backend.inflight + others.running
             prompts += (
                 running * RUNNING_STREAM_COST_PROMPTS
--- a/src/bulrushhold/decisions/_routing.py
+++ b/src/bulrushhold/decisions/_routing.py
@@ -258,10 +258,10 @@
                 key, engines, lambda s: s.server.name
             )
             self.rankings[key] = ranking
-        share = self._count_and_share(key)
+        share = self._update_bucket_share(key)
         return ranking, MIN_CANDIDATES + math.ceil(share * len(ranking))
 
-    def _count_and_share(self, key: str) -> float:
+    def _update_bucket_share(self, key: str) -> float:
         """Count a request and return its bucket's recent share."""
         self.bucket_counts[key] = self.bucket_counts.get(key, 0.0) + 1.0
         self.count_total += 1.0
