--- a/src/bulrushhold/decisions/_backendpool.py
+++ b/src/bulrushhold/decisions/_backendpool.py
@@ -43,7 +43,14 @@
 
 
 class BackendPool:
-    """All known backend servers with their load and failures."""
+    """All known backend servers with their load and failures.
+
+    :ivar on_load_change: called when this entry's load changes.
+    :ivar load_age_s: age of the last load summary when it was received.
+    :ivar capacity: memory of one engine in tokens, by service.
+    :ivar cached_prompts: by last segment of a prompt, the engine that read it
+        and the time.
+    """
 
     def __init__(self) -> None:
         self.on_load_change: t.Callable[[], None] = _do_nothing
--- a/src/bulrushhold/decisions/_loadaggregator.py
+++ b/src/bulrushhold/decisions/_loadaggregator.py
@@ -43,6 +43,7 @@
 class _Node:
     """The state of the exchange with another control process.
 
+    :param at: when its newest message arrived.
     :param received: number of its newest sum received here.
     :param acknowledged: number of the newest sum it has received from here.
     """
--- a/src/bulrushhold/decisions/_quota.py
+++ b/src/bulrushhold/decisions/_quota.py
@@ -18,6 +18,7 @@
 RENEW_S: t.Final = 1.0
 # Fraction of each limit that is split evenly without leases.
 FLOOR_SHARE: t.Final = 0.1
+# Depth of the token bucket, in seconds at the current rate.
 BURST_S: t.Final = 1.0
 # Headroom for growth until the next renewal.
 NEED_FACTOR: t.Final = 1.5
--- a/src/bulrushhold/decisions/_routing.py
+++ b/src/bulrushhold/decisions/_routing.py
@@ -17,13 +17,15 @@
 # Bounds of the load up to which prefix affinity is kept, relative to the mean.
 MIN_LOAD_FACTOR: t.Final = 1.05
 MAX_LOAD_FACTOR: t.Final = 1.25
+# Above this share of its slots, an engine counts as full.
 FULL_SLOTS_FRACTION: t.Final = 0.85
-# Bucket counts are halved when their total exceeds this.
+# The request counts of prompt buckets are halved when their sum exceeds this.
 MAX_COUNT_TOTAL: t.Final = 2000.0
 MIN_COUNT_TOTAL: t.Final = 50.0
 REPORT_HALF_LIFE_S: t.Final = 1.0
 INITIAL_BACKOFF_S: t.Final = 0.5
 MAX_BACKOFF_S: t.Final = 15.0
+# Upper bound of the time by which the platform's list lags.
 DISCOVERY_LAG_S: t.Final = 30.0
 PROMPT_BUCKETS: t.Final = 1024
 MEAN_LOAD_TTL_S: t.Final = 0.5
--- a/src/bulrushhold/decisions/_table.py
+++ b/src/bulrushhold/decisions/_table.py
@@ -45,9 +45,9 @@
         """Return the rows sorted by key, current or as of a revision."""
         if revision is None:
             revision = self.revision
-        found = (self._row_at(key, revision) for key in self.versions)
+        candidates = (self._row_at(key, revision) for key in self.versions)
         return sorted(
-            (row for row in found if row is not None),
+            (row for row in candidates if row is not None),
             key=lambda row: row.key,
         )
 
@@ -100,8 +100,8 @@
         changed: dict[str, messages.Row | None] = {}
         conflicts: list[messages.Conflict] = []
         for key in sorted(requested):
-            merged, found = self._merge(key, requested[key], edit.base)
-            conflicts += found
+            merged, row_conflicts = self._merge(key, requested[key], edit.base)
+            conflicts += row_conflicts
             if merged != self._row_at(key, self.revision):
                 changed[key] = merged
         if conflicts:
--- a/src/bulrushhold/decisions/_tablecsv.py
+++ b/src/bulrushhold/decisions/_tablecsv.py
@@ -44,13 +44,13 @@
     if not lines:
         raise _error_group([_cell_error(1, '', 'the file is empty')])
     delimiter = max(',;\t', key=lines[0].count)
-    cells = list(csv.reader(lines, delimiter=delimiter))
-    header = [name.strip().lower() for name in cells[0]]
+    parsed = list(csv.reader(lines, delimiter=delimiter))
+    header = [name.strip().lower() for name in parsed[0]]
     _check_header(header)
     problems: list[errors.CellError] = []
     rows: list[messages.Row] = []
     revisions: set[int] = set()
-    for number, line in enumerate(cells[1:], start=2):
+    for number, line in enumerate(parsed[1:], start=2):
         if not any(cell.strip() for cell in line):
             continue
         values = dict(zip(header, line, strict=False))
