--- a/tests/test_replica_search.py
+++ b/tests/test_replica_search.py
@@ -16,11 +16,18 @@
 STEP_S = 0.05
 
 
-def step(cluster, rng, *, late=0.2, slow=0.0, blocked_links=()):
+def step(
+    cluster,
+    rng,
+    *,
+    delayed_fraction=0.2,
+    long_delayed_fraction=0.0,
+    blocked_links=(),
+):
     """Advance the clock and deliver most messages in flight.
 
-    :param late: fraction of messages delayed by a step.
-    :param slow: fraction of messages delayed by an election timeout.
+    :param delayed_fraction: of messages delayed by a step.
+    :param long_delayed_fraction: of messages delayed by an election timeout.
     """
     cluster.now += STEP_S * (0.5 + rng.random())
     cluster.tick(*(n for n in list(cluster.replicas) if cluster.is_running(n)))
@@ -32,11 +39,13 @@
             receiver,
         } in blocked_links or receiver not in cluster.replicas:
             continue
-        if rng.random() < slow:
+        if rng.random() < long_delayed_fraction:
             cluster.delayed.append(
                 (cluster.now + 1.0 + 0.5 * rng.random(), item)
             )
-        elif rng.random() < late or not cluster.is_running(receiver):
+        elif rng.random() < delayed_fraction or not cluster.is_running(
+            receiver
+        ):
             cluster.network.append(item)
         else:
             cluster.replicas[receiver].receive(message, cluster.now)
@@ -66,7 +75,12 @@
         cluster.replicas[name].election_at = election_at
     blocked_links = []
     for _ in range(80):
-        step(cluster, rng, slow=0.25, blocked_links=blocked_links)
+        step(
+            cluster,
+            rng,
+            long_delayed_fraction=0.25,
+            blocked_links=blocked_links,
+        )
         if not blocked_links and cluster.leaders:
             winner = next(iter(cluster.leaders.values()))
             blocked_links = [{winner, other} for other in cluster.disks]
