--- a/src/bulrushhold/decisions/_backendpool.py
+++ b/src/bulrushhold/decisions/_backendpool.py
@@ -43,7 +43,14 @@
 
 
 class BackendPool:
-    """All known backend servers with their load and failures."""
+    """All known backend servers with their load and failures.
+
+    :ivar on_load_change: called when this entry's load changes.
+    :ivar load_age_s: age of the last load summary when it was received.
+    :ivar capacity: memory of one engine in tokens, by service.
+    :ivar cached_prompts: by last segment of a prompt, the engine that read it
+        and the time.
+    """
 
     def __init__(self) -> None:
         self.on_load_change: t.Callable[[], None] = _do_nothing
@@ -52,7 +59,7 @@
         self.last_report_at = 0.0
         self.load_age_s = 0.0
         self.remote_loads: dict[str, messages.EngineLoad] = {}
-        self.silent_data_centres: list[str] = []
+        self.stale_data_centres: list[str] = []
         self.capacity: dict[str, int] = {}
         self.speeds = _enginespeeds.EngineSpeeds()
         self.backends: dict[str, _backendserver.BackendServer] = {}
@@ -108,7 +115,7 @@
         backend: _backendserver.BackendServer,
         now: float,
         tokens: int,
-        share: float,
+        max_share: float,
     ) -> bool:
         capacity = self.capacity.get(backend.service, 0)
         needed = (
@@ -116,15 +123,15 @@
             + self.current_remote_load(backend, now).memory
             + tokens
         )
-        return not capacity or needed <= capacity * share
+        return not capacity or needed <= capacity * max_share
 
     def current_remote_load(
         self, backend: _backendserver.BackendServer, now: float
     ) -> messages.EngineLoad:
         """Return the load that other entries report, or none if outdated.
 
-        Without the limit, an engine that was full when reports ceased would
-        seem full for good, and streams would wait beside idle engines.
+        Otherwise an engine that was full when reports ceased would seem full
+        from then on, and streams would wait although engines are idle.
         """
         is_current = now - self.last_report_at < LOAD_REPORT_TTL_S
         return backend.remote_load if is_current else _backendserver.NO_LOAD
@@ -238,9 +245,9 @@
         traffic: dict[str, messages.ServiceTraffic],
         now: float,
     ) -> messages.LoadReport:
-        """Return this entry's load report; each lost engine is listed once."""
+        """Return this entry's load report; clear the pending events."""
         lost, self.pending_losses = self.pending_losses, []
-        mark_replaced, self.pending_replaced = self.pending_replaced, []
+        replaced, self.pending_replaced = self.pending_replaced, []
         loads = {
             backend.ident: messages.EngineLoad(
                 backend.reading, backend.inflight, backend.memory
@@ -250,7 +257,7 @@
         }
         speeds = self.speeds.snapshot(now)
         return messages.LoadReport(
-            entry, loads, lost, mark_replaced, traffic, speeds=speeds
+            entry, loads, lost, replaced, traffic, speeds=speeds
         )
 
     def _apply_engines(self, summary: messages.LoadSummary) -> None:
@@ -281,8 +288,8 @@
         """Apply a summary of what other entries report."""
         self.load_age_s = summary.age_s
         self.last_report_at = now - summary.age_s
-        self.silent_data_centres = summary.silent
-        self.speeds.apply_loads(summary.speeds)
+        self.stale_data_centres = summary.silent
+        self.speeds.apply_remote_samples(summary.speeds)
         self._apply_engines(summary)
         for ident in summary.lost:
             backend = self.backends.get(ident)
@@ -299,7 +306,10 @@
             self.on_load_change()
 
     def record_read(self, part: str, ident: str, now: float) -> None:
-        """Record that an engine has read and cached a part of a prompt."""
+        """Record that an engine has read and cached a prompt.
+
+        :param segment: last segment of the prompt, or ``''`` if unknown.
+        """
         if part:
             self.cached_prompts[part] = (ident, now)
             self.cached_prompts.move_to_end(part)
--- a/src/bulrushhold/decisions/_loadtotals.py
+++ b/src/bulrushhold/decisions/_loadtotals.py
@@ -56,22 +56,22 @@
 
     def _prune_changes(self, new: 'LoadTotal', number: int) -> None:
         self.changed = {
-            ident: at
-            for ident, at in self.changed.items()
-            if ident in new.engines or number - at < MAX_CHANGES
+            ident: changed_at
+            for ident, changed_at in self.changed.items()
+            if ident in new.engines or number - changed_at < MAX_CHANGES
         }
 
     def changed_since(self, number: int) -> dict[str, messages.EngineLoad]:
         """Return the load of changed engines; zero for removed ones.
 
-        The result is cached until the next change: most entries ask for the
-        same one.
+        The result is cached until the next change, since most entries ask
+        for the changes since the same number.
         """
         if number not in self.deltas:
             self.deltas[number] = {
                 ident: self.engines.get(ident, NO_LOAD)
-                for ident, at in self.changed.items()
-                if at > number
+                for ident, changed_at in self.changed.items()
+                if changed_at > number
             }
         return self.deltas[number]
 
@@ -87,7 +87,9 @@
     own: dict[str, messages.EngineLoad],
 ) -> dict[str, messages.EngineLoad]:
     """Return loads minus one entry's own, limited to the engines given."""
-    own_loads = {ident: one for ident, one in own.items() if ident in engines}
+    own_loads = {
+        ident: load for ident, load in own.items() if ident in engines
+    }
     if not own_loads:
         return engines
     others = dict(engines)
@@ -97,39 +99,39 @@
 
 def _add_engines(
     totals: dict[str, messages.EngineLoad],
-    more: dict[str, messages.EngineLoad],
+    added: dict[str, messages.EngineLoad],
     sign: int,
 ) -> None:
-    for ident, one in more.items():
-        known = totals.get(ident, NO_LOAD)
+    for ident, load in added.items():
+        total = totals.get(ident, NO_LOAD)
         totals[ident] = messages.EngineLoad(
-            known.reading + sign * one.reading,
-            known.running + sign * one.running,
-            known.memory + sign * one.memory,
+            total.reading + sign * load.reading,
+            total.running + sign * load.running,
+            total.memory + sign * load.memory,
         )
 
 
 def add_traffic(
     totals: dict[str, messages.ServiceTraffic],
-    more: dict[str, messages.ServiceTraffic],
+    added: dict[str, messages.ServiceTraffic],
     sign: int,
 ) -> None:
     """Add requests by service to totals, or subtract them."""
-    for service, one in more.items():
-        known = totals.get(service, NO_TRAFFIC)
+    for service, traffic in added.items():
+        total = totals.get(service, NO_TRAFFIC)
         totals[service] = messages.ServiceTraffic(
-            known.firsts + sign * one.firsts,
-            known.repeats + sign * one.repeats,
-            known.waiting + sign * one.waiting,
+            total.firsts + sign * traffic.firsts,
+            total.repeats + sign * traffic.repeats,
+            total.waiting + sign * traffic.waiting,
         )
 
 
 def add_speeds(
     totals: dict[str, messages.EngineSpeed],
-    more: dict[str, messages.EngineSpeed],
+    added: dict[str, messages.EngineSpeed],
     sign: int,
 ) -> None:
     """Add speed samples by service to totals, or subtract them."""
-    for service, speed in more.items():
-        known = totals.get(service, _enginespeeds.NO_SAMPLES)
-        totals[service] = _enginespeeds.add(known, speed, sign)
+    for service, speed in added.items():
+        total = totals.get(service, _enginespeeds.NO_SAMPLES)
+        totals[service] = _enginespeeds.add(total, speed, sign)
--- a/src/bulrushhold/decisions/_placement.py
+++ b/src/bulrushhold/decisions/_placement.py
@@ -24,9 +24,9 @@
 # Each running stream slows the reading of a new prompt a little.
 RUNNING_STREAM_COST_PROMPTS: t.Final = 0.08
 # Number of engines preferred for a prompt, chosen by rendezvous hashing of its
-# last part. Spreads the streams of entries that can't see each other's choices
-# yet, and lets a retry through another entry reach the engine that has the
-# prompt cached.
+# last segment. Spreads the streams of entries that can't see each other's
+# choices yet, and lets a retry through another entry reach the engine that has
+# the prompt cached.
 AFFINITY_CANDIDATES: t.Final = 5
 # Added for each rank in the rendezvous order.
 RANK_COST_PROMPTS: t.Final = 0.08
@@ -41,8 +41,8 @@
 # An engine counts as idle if it can read all its prompts and the new one
 # within this share of the aim.
 IDLE_AIM_SHARE: t.Final = 0.7
-# Late streams are placed while at least this many engines can meet the aim, so
-# that new streams still find one.
+# Streams that can't meet their aim any more are placed at once only while at
+# least this many engines can meet it, so that new streams still find one.
 HEADROOM_ENGINES: t.Final = 2
 # Lower bound of a run's duration, as a share of the mean.
 MIN_RUN_SHARE: t.Final = 0.5
@@ -115,19 +115,21 @@
         number of tokens to read stands for time.
 
         :param tokens: length of the prompt.
-        :param part: last part of the prompt; an engine that has it cached
-            needn't read it again.
+        :param segment: last segment of the prompt; an engine that has it
+            cached needn't read the prompt again.
         :param avoid_data_centre: data centre that just lost this stream.
         """
         cached = self.engine_with_prompt(part, now)
         ranks = self._affinity_ranks(service, part, tried)
-        prompt = max(1, tokens)
+        prompt_tokens = max(1, tokens)
 
         def wait(backend: _backendserver.BackendServer) -> float:
             rank = ranks.get(backend.ident, AFFINITY_CANDIDATES)
-            own_tokens = 0 if backend.ident == cached else tokens
+            uncached_tokens = 0 if backend.ident == cached else tokens
             others = self.current_remote_load(backend, now)
-            prompts = (backend.reading + others.reading + own_tokens) / prompt
+            prompts = (
+                backend.reading + others.reading + uncached_tokens
+            ) / prompt_tokens
             running = backend.inflight + others.running
             prompts += (
                 running * RUNNING_STREAM_COST_PROMPTS
@@ -164,9 +166,9 @@
     def likely_cache_holders(
         self, service: str, part: str, now: float
     ) -> list[_backendserver.BackendServer]:
-        """Return the engines that may have a part of a prompt cached.
+        """Return the engines that may have a prompt cached.
 
-        Empty if the engine is known, or if the part has no name.
+        Empty if the engine that has it is known, or without a segment.
         """
         if not part or self.engine_with_prompt(part, now):
             return []
@@ -178,8 +180,8 @@
 
     def _is_load_stale(self, service: str, now: float) -> bool:
         """Return whether much of the other entries' load is unknown here."""
-        old = now - self.last_report_at > STALE_AFTER_S
-        if old or self.silent_data_centres:
+        outdated = now - self.last_report_at > STALE_AFTER_S
+        if outdated or self.stale_data_centres:
             return True
         return any(
             now - backend.lost_at < STALE_AFTER_LOSS_S
@@ -227,7 +229,7 @@
             if not self.has_room(backend, now, tokens, max_share)
         }
         tried = tried | full | {engine.ident}
-        best = self._best(engine.service, now, tried, cost, strict=True)
+        best = self._best(engine.service, now, tried, cost, healthy_only=True)
         if best is None or best.data_centre == engine.data_centre:
             return best
         # Choose among a random few: entries that choose at the same moment
@@ -242,7 +244,12 @@
         ]
         preferred = self.rng.sample(others, min(COPY_CHOICES, len(others)))
         return self._best(
-            engine.service, now, tried, cost, strict=True, preferred=preferred
+            engine.service,
+            now,
+            tried,
+            cost,
+            healthy_only=True,
+            preferred=preferred,
         )
 
     def estimate_capacity(
@@ -272,7 +279,7 @@
         ]
         first_s = float('inf')
         idle = False
-        with_room = in_time = 0
+        with_room = ready_engines = 0
         for backend in healthy:
             if not self.has_room(backend, now, memory, 1.0):
                 continue
@@ -280,20 +287,22 @@
             reading = backend.reading + others + tokens
             first_s = min(first_s, reading * token_s)
             with_room += 1
-            in_time += reading * token_s <= objective.aim_s
+            ready_engines += reading * token_s <= objective.aim_s
             nearly_idle = reading * token_s <= IDLE_AIM_SHARE * objective.aim_s
             idle = idle or nearly_idle or reading == tokens
-        per_s = self._completions_per_s(service, now, tokens * token_s, memory)
+        engine_rate = self._completions_per_s(
+            service, now, tokens * token_s, memory
+        )
         run_s = self.speeds.run_s(service, now) or 0.0
         return _admissioncontrol.CapacityEstimate(
             first_s,
             idle,
             len(healthy),
-            len(healthy) * per_s,
+            len(healthy) * engine_rate,
             max(0.0, MIN_RUN_SHARE * run_s - tokens * token_s),
-            in_time >= min(HEADROOM_ENGINES, with_room)
+            ready_engines >= min(HEADROOM_ENGINES, with_room)
             or 2 * with_room < len(healthy),
-            in_time,
+            ready_engines,
         )
 
     def _completions_per_s(
@@ -322,7 +331,7 @@
         tried: set[str],
         cost: t.Callable[[_backendserver.BackendServer], float],
         *,
-        strict: bool = False,
+        healthy_only: bool = False,
         preferred: t.Container[str] = (),
     ) -> _backendserver.BackendServer | None:
         usable = self.usable(service)
@@ -331,26 +340,26 @@
         if healthy:
             shortlist = [b for b in healthy if b.ident in preferred]
             return min(shortlist or healthy, key=cost)
-        if strict or not untried:
+        if healthy_only or not untried:
             return None
-        # All are ejected: the one ejected first is the likeliest to be back.
+        # All are ejected: the one ejected first has most likely recovered.
         return min(untried, key=lambda b: b.ejected_until)
 
     def _affinity_ranks(
         self, service: str, part: str, tried: set[str]
     ) -> dict[str, int]:
-        """Return the ranks of the engines preferred for a part of a prompt.
+        """Return the ranks of the engines preferred for a prompt.
 
-        Uses rendezvous hashing.
+        Uses rendezvous hashing of its last segment.
         """
         if not part:
             part = str(self.rng.random())
         idents = [b.ident for b in self.usable(service)]
-        first = heapq.nlargest(
+        preferred = heapq.nlargest(
             AFFINITY_CANDIDATES,
             (ident for ident in idents if ident not in tried),
             key=lambda ident: xxhash.xxh64_intdigest(
                 f'{part}/{ident}'.encode()
             ),
         )
-        return {ident: rank for rank, ident in enumerate(first)}
+        return {ident: rank for rank, ident in enumerate(preferred)}
--- a/src/bulrushhold/decisions/_quota.py
+++ b/src/bulrushhold/decisions/_quota.py
@@ -18,6 +18,7 @@
 RENEW_S: t.Final = 1.0
 # Fraction of each limit that is split evenly without leases.
 FLOOR_SHARE: t.Final = 0.1
+# Depth of the token bucket, in seconds at the current rate.
 BURST_S: t.Final = 1.0
 # Headroom for growth until the next renewal.
 NEED_FACTOR: t.Final = 1.5
@@ -48,13 +49,13 @@
         self.grants_allowed_at = now + LEASE_S
 
     def homes_changed(self, now: float) -> None:
-        """Delay first grants after rows may have moved from other homes."""
+        """Delay the first grants of rows that may have had another home."""
         self.grants_allowed_at = now + LEASE_S
 
     def grant(
         self, ask: messages.QuotaAsk, row: messages.Row, now: float
     ) -> messages.QuotaGrant:
-        """Grant a lease from what isn't held by other leases.
+        """Grant a lease from the part of the limits that isn't leased.
 
         A row seen for the first time shortly after the entries changed may
         have leases from its previous home. Nothing is granted for it until
--- a/src/bulrushhold/decisions/_routing.py
+++ b/src/bulrushhold/decisions/_routing.py
@@ -17,13 +17,15 @@
 # Bounds of the load up to which prefix affinity is kept, relative to the mean.
 MIN_LOAD_FACTOR: t.Final = 1.05
 MAX_LOAD_FACTOR: t.Final = 1.25
+# Above this share of its slots, an engine counts as full.
 FULL_SLOTS_FRACTION: t.Final = 0.85
-# Bucket counts are halved when their total exceeds this.
+# The request counts of prompt buckets are halved when their sum exceeds this.
 MAX_COUNT_TOTAL: t.Final = 2000.0
 MIN_COUNT_TOTAL: t.Final = 50.0
 REPORT_HALF_LIFE_S: t.Final = 1.0
 INITIAL_BACKOFF_S: t.Final = 0.5
 MAX_BACKOFF_S: t.Final = 15.0
+# Upper bound of the time by which the platform's list lags.
 DISCOVERY_LAG_S: t.Final = 30.0
 PROMPT_BUCKETS: t.Final = 1024
 MEAN_LOAD_TTL_S: t.Final = 0.5
@@ -45,7 +47,7 @@
     :param listed: whether the platform's list contains it.
     :param draining_until: monotonic seconds until which it gets no requests
         after it announced its shutdown.
-    :param suspects: running requests that may be poison requests.
+    :param suspects: number of running requests that may be poison requests.
     :param gaps: estimate of its inter-token latency.
     """
 
@@ -179,9 +181,9 @@
         :param version: model version required to continue an answer, or
             ``''`` for any.
         :param avoid: engines that already failed this request.
-        :param suspect: whether this may be a poison request. It is then
-            preferably kept apart from other suspects, so that another crash
-            identifies it.
+        :param may_be_poison: whether an engine crashed while running this
+            request. It is then kept apart from other such requests if
+            possible, so that another crash identifies the poison request.
         """
 
         def eligible(state: BackendState) -> bool:
@@ -258,10 +260,10 @@
                 key, engines, lambda s: s.server.name
             )
             self.rankings[key] = ranking
-        share = self._count_and_share(key)
+        share = self._update_bucket_share(key)
         return ranking, MIN_CANDIDATES + math.ceil(share * len(ranking))
 
-    def _count_and_share(self, key: str) -> float:
+    def _update_bucket_share(self, key: str) -> float:
         """Count a request and return its bucket's recent share."""
         self.bucket_counts[key] = self.bucket_counts.get(key, 0.0) + 1.0
         self.count_total += 1.0
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -30,8 +30,10 @@
 ):
     admission = decisions.AdmissionController()
     admission.waiting['s'] = waiting
-    per_s = 0.7 * engines
-    estimate = decisions.CapacityEstimate(first_s, idle, engines, per_s)
+    completions_per_s = 0.7 * engines
+    estimate = decisions.CapacityEstimate(
+        first_s, idle, engines, completions_per_s
+    )
     return admission.decide(
         estimate,
         waited_s=waited,
@@ -145,8 +147,8 @@
             backend.reading = PROMPT * len(engine.queue)
             backend.memory = MEMORY * backend.inflight
         overloaded = 4.0 <= now < 11.0
-        per_s = rate if overloaded else 2.5
-        if now < seconds and rng.random() < per_s * STEP_S:
+        arrivals_per_s = rate if overloaded else 2.5
+        if now < seconds and rng.random() < arrivals_per_s * STEP_S:
             stream = {'at': now, 'first': None, 'unread': 1.0}
             streams.append(stream)
             waiting_streams.append(stream)
@@ -232,13 +234,13 @@
         backend.memory = 10_000
     context.placement.last_report_at = context.clock()
     context.admission.waiting['engines'] = 200
-    begun = context.clock()
+    started_at = context.clock()
     with pytest.raises(errors.RequestError) as caught:
         await fakes.run_stream(context, wait_s=25.0)
     assert caught.value.status == 503
     assert caught.value.ran is errors.Ran.NO
     assert caught.value.retry_after == 8.0
-    assert context.clock() - begun < 0.5
+    assert context.clock() - started_at < 0.5
     assert client.log == []
     assert context.admission.waiting['engines'] == 200
 
@@ -267,8 +269,8 @@
 
 
 def test_outdated_memory_reports_do_not_block_admission():
-    # Guards against streams that wait beside idle engines once load reports
-    # have ceased.
+    # Guards against streams that wait although engines are idle, once load
+    # reports have ceased.
     placement = decisions.Placement(random.Random(1))
     placement.capacity = {'s': CAPACITY}
     placement.update([messages.ListedBackend('i0', 's', 'h0:1', 'dc0', 64)])
@@ -288,12 +290,12 @@
 async def test_a_prompt_too_large_for_any_engine_is_refused_at_once(
     client, context
 ):
-    # Guards against waiting in vain before the refusal.
+    # Guards against a refusal only after the maximum wait.
     context.placement.capacity = {'engines': 5000}
-    begun = context.clock()
+    started_at = context.clock()
     with pytest.raises(errors.RequestError) as caught:
         await fakes.run_stream(context, wait_s=25.0)
-    assert context.clock() - begun < 0.5
+    assert context.clock() - started_at < 0.5
     assert caught.value.status == 503
     assert caught.value.ran is errors.Ran.NO
     assert client.log == []
@@ -324,7 +326,7 @@
 
 @pytest.mark.parametrize('entries', [2, 8, 40, 200])
 def test_concurrent_entries_do_not_overfill_one_free_engine(entries):
-    """Guards against many prompts on one engine that all entries see idle."""
+    """Guards against prompts of all entries on the one free engine."""
     admitted = [admit_concurrently(entries, seed) for seed in range(40)]
     assert statistics.mean(admitted) <= 1.5
     assert max(admitted) <= 5
@@ -336,7 +338,7 @@
 
 
 def test_a_started_stream_is_admitted_before_new_ones():
-    """Guards against growing pauses while new streams are placed."""
+    """Guards against stalling a started stream while placing new ones."""
     admission = decisions.AdmissionController()
     admission.waiting['s'] = 100
     estimate = decisions.CapacityEstimate(1.0, True, 9, 6.0)
--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -50,13 +50,13 @@
         add_reads(placement.speeds, 3.0, 0.0)
         placement.speeds.record_run('s', 9.0, 3.0)
         loads.take(placement.load_report(f'e{number}', {}, 3.0), 3.0)
-    last = decisions.EngineSpeeds()
-    last.apply_loads(loads.summary_for('e99', 0).speeds)
-    assert 8000 * last.token_s('s', OBJECTIVE, 3.0) > 2.7
-    assert last.run_s('s', 3.0) == pytest.approx(9.0)
-    own = decisions.EngineSpeeds()
-    own.apply_loads(loads.summary_for('e1', 0).speeds)
-    assert own.remote['s'].runs == pytest.approx(9.0)
+    combined = decisions.EngineSpeeds()
+    combined.apply_remote_samples(loads.summary_for('e99', 0).speeds)
+    assert 8000 * combined.token_s('s', OBJECTIVE, 3.0) > 2.7
+    assert combined.run_s('s', 3.0) == pytest.approx(9.0)
+    excluding_own = decisions.EngineSpeeds()
+    excluding_own.apply_remote_samples(loads.summary_for('e1', 0).speeds)
+    assert excluding_own.remote['s'].runs == pytest.approx(9.0)
 
 
 def test_one_paused_entry_hardly_changes_the_estimates():
@@ -65,7 +65,7 @@
     others = messages.EngineSpeed(
         80_000, 10 * READ_S, 1000, 1000 * PAUSE_S, 1000 * PAUSE_S**2
     )
-    speeds.apply_loads({'s': others})
+    speeds.apply_remote_samples({'s': others})
     before = speeds.token_s('s', OBJECTIVE, 10.0)
     add_reads(speeds, 60.0, 10.0)
     assert speeds.token_s('s', OBJECTIVE, 70.0) < 1.5 * before
@@ -93,7 +93,7 @@
 
 
 def test_an_excluded_engine_does_not_affect_the_estimate():
-    # A single stalled engine, with its pending reads.
+    # One engine is stalled, so that its reads stay pending.
     speeds = decisions.EngineSpeeds()
     add_reads(speeds, READ_S, 0.0, count=10)
     readings = [speeds.start_read('s', 'stuck', 8000, 10.0) for _ in range(4)]
@@ -107,13 +107,14 @@
 @pytest.mark.parametrize('speed', SPEEDS)
 def test_stall_timeouts_fit_engines_of_any_speed(speed):
     # Pauses grow while the engine reads a prompt. A healthy engine must not be
-    # abandoned for that, and a dead one must be detected early enough for the
-    # longest pause allowed, if the usual pauses leave the time.
+    # abandoned for that. A crashed one must be detected within the longest
+    # pause allowed, unless the usual pauses are nearly as long.
     speeds = decisions.EngineSpeeds()
     idle_pause_s, reading_pause_s = PAUSE_S / speed, 4 * PAUSE_S / speed
     add_pauses(speeds, 0.0, *[idle_pause_s] * 200, *[reading_pause_s] * 60)
     typical_pause_s, long_pause_s = (
-        speeds.pause_s('s', OBJECTIVE, 0.0, d) for d in (1.5, 4.0)
+        speeds.pause_s('s', OBJECTIVE, 0.0, deviations)
+        for deviations in (1.5, 4.0)
     )
     timeouts = decisions.StallTimeouts(
         typical_pause_s, long_pause_s, OBJECTIVE.gap_s, 0.18
