--- a/src/bulrushhold/composition/_control.py
+++ b/src/bulrushhold/composition/_control.py
@@ -70,10 +70,10 @@
     from bulrushhold import node
 
     store = node.FileLog(config.data_dir)
-    durable, ident = control.open_replica(config, store)
+    persisted_state, ident = control.open_replica(config, store)
     replica = decisions.Replica(
         ident,
-        durable,
+        persisted_state,
         decisions.Timing(config.heartbeat_s, config.election_s),
         random.Random(),
         node.boot_time(),
--- a/src/bulrushhold/composition/_entry.py
+++ b/src/bulrushhold/composition/_entry.py
@@ -39,7 +39,7 @@
         self.store = decisions.CopyStore(
             config.copies.keep_s, time.monotonic()
         )
-        self.copies = entry.TranscriptReplicator(
+        self.replicator = entry.TranscriptReplicator(
             config.copies, self.transport, self.metrics
         )
         self.background: set[asyncio.Task[t.Any]] = set()
@@ -65,7 +65,7 @@
             self.router,
             self.membership,
         )
-        keys = entry.KeyRegistrar(
+        registrar = entry.KeyRegistrar(
             config,
             self.transport,
             self.store,
@@ -92,19 +92,21 @@
             self.router,
             adapters.HttpEngineClient(self.session),
             _make_policy(config.recovery),
-            self.copies,
+            self.replicator,
             self.admission,
             quarantine,
             self.metrics,
         )
         self.streams = entry.GenerationRegistry(
-            config, runner, keys, self.copies, self.store
+            config, runner, registrar, self.replicator, self.store
         )
-        self.table.changed.append(
+        self.table.listeners.append(
             lambda: self.streams.refuse_quarantined(self.table.quarantined)
         )
-        self.table.changed.append(
-            lambda: runner.suspects.add_reported(self.table.suspects)
+        self.table.listeners.append(
+            lambda: runner.crash_tracker.add_reported(
+                self.table.poison_candidates
+            )
         )
         services = entry.ServiceRunner(
             self.router,
@@ -146,7 +148,7 @@
     async def drain(self) -> None:
         """Refuse new requests and wait for running ones to finish."""
         self.server.draining = True
-        self.prober.leave()
+        self.prober.announce_leaving()
         loguru.logger.info('draining')
         deadline = time.monotonic() + self.config.drain_deadline_s
         while self.server.in_progress and time.monotonic() < deadline:
@@ -158,7 +160,7 @@
             task.cancel()
         await asyncio.gather(*self.background, return_exceptions=True)
         await self.runner.cleanup()
-        await self.copies.close()
+        await self.replicator.close()
         await self.session.close()
         await self.transport.close()
 
@@ -173,13 +175,13 @@
         _background.log_failure(task)
 
     async def _update_peers(self) -> None:
-        known_names: set[str] = set()
+        previous_names: set[str] = set()
         while True:
-            self.copies.set_peers(self.view.copy_peers())
+            self.replicator.set_peers(self.view.copy_peers())
             self.admission.set_capacity(self.view.engine_slots())
             names = {instance.name for instance in self.view.entries}
-            if names != known_names:
-                known_names = names
+            if names != previous_names:
+                previous_names = names
                 self.store.homes_changed(time.monotonic())
             await self.view.changed.wait()
             self.view.changed.clear()
--- a/src/bulrushhold/composition/_forwarding.py
+++ b/src/bulrushhold/composition/_forwarding.py
@@ -98,7 +98,7 @@
             admission,
         )
         self.metrics = node.make_prometheus_metrics('bulrushhold_entry')
-        components = forwarding.ForwardingContext(
+        context = forwarding.ForwardingContext(
             placement,
             self.client,
             budget,
@@ -106,7 +106,7 @@
             poison_requests,
             admission,
         )
-        self.forwarder = forwarding.Forwarder(self.fleet, components)
+        self.forwarder = forwarding.Forwarder(self.fleet, context)
         self.ingress = adapters.Ingress(
             self.forwarder.handle, self.adapters.caller_dialect
         )
--- a/src/bulrushhold/entry/_admission.py
+++ b/src/bulrushhold/entry/_admission.py
@@ -297,13 +297,13 @@
         homes = decisions.home_entries(f'quota {share.row.key}', entries, 1)
         if not homes:
             return
-        want = max(1.0, float(share.running + share.waiting))
+        demand = max(1.0, float(share.running + share.waiting))
         if share is self.engine_quota:
-            want = self._weight_in_use()
+            demand = self._weight_in_use()
         ask = messages.QuotaAsk(
             share.row.key,
             self.config.name,
-            want,
+            demand,
             share.need,
             share.running_on_lease,
             len(entries),
--- a/src/bulrushhold/entry/_attempts.py
+++ b/src/bulrushhold/entry/_attempts.py
@@ -29,7 +29,7 @@
     last_event_at: float
     started: bool = False
     crash_counted: bool = False
-    poison_suspect: bool = False
+    may_be_poison: bool = False
     connected: bool = True
     hedge_tokens: int = 0
     task: asyncio.Task[None] | None = None
@@ -52,12 +52,14 @@
         self.generation = generation
         self.live = live
         self.loop = asyncio.get_running_loop()
-        self.loss_only = False
+        self.stall_timeout_only = False
         most_recent = self._most_recent()
-        silence = time.monotonic() - most_recent.last_event_at
+        idle_s = time.monotonic() - most_recent.last_event_at
         # After the first timeout, or with a hedged attempt, only the loss
         # timeout remains.
-        self.loss_only = len(live) > 1 or silence >= self._timeout(most_recent)
+        self.stall_timeout_only = len(live) > 1 or idle_s >= self._timeout(
+            most_recent
+        )
         self.handle: asyncio.TimerHandle | None = None
         self._check()
 
@@ -68,8 +70,8 @@
 
     def _check(self) -> None:
         most_recent = self._most_recent()
-        silence = time.monotonic() - most_recent.last_event_at
-        remaining = self._timeout(most_recent) - silence
+        idle_s = time.monotonic() - most_recent.last_event_at
+        remaining = self._timeout(most_recent) - idle_s
         if remaining <= 0:
             self.generation.attempt_changed.set()
             return
@@ -80,6 +82,6 @@
 
     def _timeout(self, attempt: Attempt) -> float:
         gaps = attempt.state.gaps
-        if self.loss_only:
+        if self.stall_timeout_only:
             return self.policy.stall_timeout(gaps, started=attempt.started)
         return self.policy.check_after(gaps, started=attempt.started)
--- a/src/bulrushhold/entry/_control.py
+++ b/src/bulrushhold/entry/_control.py
@@ -139,11 +139,11 @@
         self.rows: dict[str, messages.Row] = {}
         self.accounts: dict[str, float] = {}
         self.quarantined: frozenset[str] = frozenset()
-        self.suspects: frozenset[str] = frozenset()
+        self.poison_candidates: frozenset[str] = frozenset()
         self.refusals_revision = -1
         self.revision = 0
         self.confirmed_at: float | None = None
-        self.changed: list[cabc.Callable[[], None]] = []
+        self.listeners: list[cabc.Callable[[], None]] = []
 
     @property
     def confirmed(self) -> bool:
@@ -197,7 +197,7 @@
             self._apply_rows(reply)
             changed = True
         if changed:
-            for callback in self.changed:
+            for callback in self.listeners:
                 callback()
 
     def _apply_rows(self, reply: messages.TableReply) -> None:
@@ -215,7 +215,7 @@
         if reply.refusals is None:
             return False
         self.quarantined = frozenset(reply.refusals.quarantined)
-        self.suspects = frozenset(reply.refusals.suspects)
+        self.poison_candidates = frozenset(reply.refusals.suspects)
         self.refusals_revision = reply.refusals_revision
         return True
 
--- a/src/bulrushhold/entry/_generation.py
+++ b/src/bulrushhold/entry/_generation.py
@@ -57,7 +57,7 @@
         self.key = key
         self.spec = spec
         self.epoch = epoch
-        self.since = epoch
+        self.start_epoch = epoch
         self.refresh_at = 0.0
         self.transcript = decisions.Transcript(key)
         self.lifecycle = decisions.Lifecycle()
--- a/src/bulrushhold/entry/_keyregistrar.py
+++ b/src/bulrushhold/entry/_keyregistrar.py
@@ -25,13 +25,13 @@
 class KeyOwnership:
     """A key that this entry has acquired.
 
-    :param since: epoch in which the text was started.
-    :param former: transcript of the previous owner, if one was found.
+    :param start_epoch: epoch in which the text was started.
+    :param previous_copy: transcript of the previous owner, if one was found.
     """
 
     epoch: int
-    since: int
-    former: messages.CopyState | None
+    start_epoch: int
+    previous_copy: messages.CopyState | None
 
 
 class KeyRegistrar:
@@ -43,13 +43,13 @@
         transport: ports.Transport,
         store: decisions.CopyStore,
         entries: cabc.Callable[[], list[ports.Instance]],
-        copies: cabc.Callable[[], list[str]],
+        copy_peers: cabc.Callable[[], list[str]],
     ) -> None:
         self.config = config
         self.transport = transport
         self.store = store
         self.entries = entries
-        self.copies = copies
+        self.copy_peers = copy_peers
         self.own_address = str(config.peer)
         self.epoch_suffix = (
             xxhash.xxh3_64_intdigest(config.name.encode()) & 0xFFFF
@@ -62,7 +62,7 @@
         """Return an epoch unique to this entry: time, then a name hash."""
         return (int(time.time() * 1000) << 16) | self.epoch_suffix
 
-    async def take(
+    async def acquire(
         self, key: str, fingerprint: str, received: int
     ) -> KeyOwnership:
         """Become the only owner of a key.
@@ -92,8 +92,8 @@
                 ) | self.epoch_suffix
                 continue
             copy = await self._take_copies(key, epoch, pointers)
-            held = len(copy.tokens) if copy else 0
-            if received and (received > held or not pointers.sure):
+            copy_length = len(copy.tokens) if copy else 0
+            if received and (received > copy_length or not pointers.sure):
                 raise errors.RequestError(
                     f'the answer is not known up to token {received}; send '
                     'the request again with a new key',
@@ -105,10 +105,10 @@
                 copy = None
             if copy is not None:
                 return KeyOwnership(epoch, pointers.since, copy)
-            if await self._begin_text(key, epoch, fingerprint):
+            if await self._register_new_text(key, epoch, fingerprint):
                 return KeyOwnership(epoch, epoch, None)
         if no_majority:
-            raise self._no_majority()
+            raise self._no_majority_error()
         raise errors.RequestError(
             'other entries are taking over this request',
             'key',
@@ -117,7 +117,7 @@
             retry_after=RETRY_AFTER_S,
         )
 
-    def _no_majority(self) -> errors.RequestError:
+    def _no_majority_error(self) -> errors.RequestError:
         return errors.RequestError(
             'too few homes of the idempotency key can be reached',
             'key',
@@ -126,12 +126,12 @@
             retry_after=RETRY_AFTER_S,
         )
 
-    async def _begin_text(
+    async def _register_new_text(
         self, key: str, epoch: int, fingerprint: str
     ) -> bool:
         """Register the start of a new text at a majority of homes."""
         pointers = await self._take_pointers(
-            key, epoch, fingerprint, begins=True
+            key, epoch, fingerprint, new_text=True
         )
         return pointers.majority and pointers.epoch == epoch
 
@@ -149,33 +149,35 @@
             pointers = await self._take_pointers(key, epoch, fingerprint)
             if pointers.majority:
                 return pointers.epoch == epoch
-        raise self._no_majority()
+        raise self._no_majority_error()
 
     def refresh(
-        self, key: str, epoch: int, since: int, fingerprint: str
+        self, key: str, epoch: int, start_epoch: int, fingerprint: str
     ) -> None:
         """Renew this entry's ownership at a key's homes, without waiting.
 
         Otherwise the homes of a long-running text would expire its
         pointer, and a new home would never learn of it.
         """
-        take = messages.PointerTake(
-            key, epoch, fingerprint, self.copies(), since=since
+        request = messages.PointerTake(
+            key, epoch, fingerprint, self.copy_peers(), since=start_epoch
         )
         for home in decisions.home_entries(key, self.entries(), POINTER_HOMES):
             if home.peer == self.own_address:
-                self.store.take_pointer(take, time.monotonic())
+                self.store.take_pointer(request, time.monotonic())
             else:
-                self.transport.send(home.peer, take)
+                self.transport.send(home.peer, request)
 
     async def _take_pointers(
-        self, key: str, epoch: int, fingerprint: str, *, begins: bool = False
+        self, key: str, epoch: int, fingerprint: str, *, new_text: bool = False
     ) -> decisions.PointerSummary:
-        take = messages.PointerTake(
-            key, epoch, fingerprint, self.copies(), begins
+        request = messages.PointerTake(
+            key, epoch, fingerprint, self.copy_peers(), new_text
         )
         homes = decisions.home_entries(key, self.entries(), POINTER_HOMES)
-        states = await self._request_all([home.peer for home in homes], take)
+        states = await self._request_all(
+            [home.peer for home in homes], request
+        )
         return decisions.summarize_pointers(states, len(homes))
 
     async def _take_copies(
@@ -217,12 +219,12 @@
             return None
 
     async def _on_pointer(
-        self, take: messages.PointerTake
+        self, request: messages.PointerTake
     ) -> messages.PointerState:
-        return self.store.take_pointer(take, time.monotonic())
+        return self.store.take_pointer(request, time.monotonic())
 
-    async def _on_take(self, take: messages.CopyTake) -> messages.CopyState:
-        return self.store.take(take, time.monotonic())
+    async def _on_take(self, request: messages.CopyTake) -> messages.CopyState:
+        return self.store.take(request, time.monotonic())
 
     async def _on_batch(
         self, batch: messages.CopyBatch
--- a/src/bulrushhold/entry/_operators.py
+++ b/src/bulrushhold/entry/_operators.py
@@ -36,7 +36,7 @@
             web.get('/v1/table', self._pull),
             web.post('/v1/table', self._push),
             web.get('/v1/table/history', self._history),
-            web.delete('/v1/quarantine/{fingerprint}', self._lift),
+            web.delete('/v1/quarantine/{fingerprint}', self._lift_quarantine),
         ]
 
     def _check_operator(self, request: web.Request) -> None:
@@ -123,7 +123,7 @@
         reply = await self._read(messages.HistoryRead())
         return web.Response(body=_encode(reply.items), content_type=_JSON)
 
-    async def _lift(self, request: web.Request) -> web.Response:
+    async def _lift_quarantine(self, request: web.Request) -> web.Response:
         self._check_operator(request)
         command = messages.Quarantine(
             request.match_info['fingerprint'], '', time.time(), lift=True
@@ -131,16 +131,16 @@
         try:
             await self.control.propose(command, PUSH_DEADLINE_S)
         except errors.PeerError as error:
-            raise self._no_control(error) from error
+            raise self._control_error(error) from error
         return web.Response(body=b'{}', content_type=_JSON)
 
     async def _read(self, read: messages.Message) -> t.Any:
         try:
             return await self.control.read(read, PUSH_DEADLINE_S)
         except errors.PeerError as error:
-            raise self._no_control(error) from error
+            raise self._control_error(error) from error
 
-    def _no_control(self, error: errors.PeerError) -> errors.RequestError:
+    def _control_error(self, error: errors.PeerError) -> errors.RequestError:
         return errors.RequestError(
             error.reason,
             'control',
--- a/src/bulrushhold/entry/_prober.py
+++ b/src/bulrushhold/entry/_prober.py
@@ -39,10 +39,10 @@
             if target is not None:
                 await self._probe(target)
             self.membership.tick(self.clock())
-            spent = self.clock() - started
-            await asyncio.sleep(max(0.0, period_s - spent))
+            elapsed = self.clock() - started
+            await asyncio.sleep(max(0.0, period_s - elapsed))
 
-    def leave(self) -> None:
+    def announce_leaving(self) -> None:
         """Announce to every entry that this one accepts no new requests.
 
         Sent directly, since gossip on probes takes several periods to
--- a/src/bulrushhold/entry/_registry.py
+++ b/src/bulrushhold/entry/_registry.py
@@ -23,14 +23,14 @@
         self,
         config: settings.Entry,
         runner: _runner.GenerationRunner,
-        keys: _keyregistrar.KeyRegistrar,
-        copies: _replication.TranscriptReplicator,
+        registrar: _keyregistrar.KeyRegistrar,
+        replicator: _replication.TranscriptReplicator,
         store: decisions.CopyStore,
     ) -> None:
         self.config = config
         self.runner = runner
-        self.keys = keys
-        self.copies = copies
+        self.registrar = registrar
+        self.replicator = replicator
         self.store = store
         self.generations: dict[str, _generation.Generation] = {}
         self.open_locks: dict[str, asyncio.Lock] = {}
@@ -41,12 +41,12 @@
         spec: _generation.GenerationSpec,
         received: int,
         *,
-        owned: bool,
+        new_key: bool,
     ) -> _generation.Generation:
         """Return the generation of a key, starting it if necessary.
 
         :param received: number of tokens that the caller already has.
-        :param owned: the key was created here, so no other entry knows it.
+        :param new_key: the key was created here, so no other entry knows it.
         :raises RequestError: if the answer can't be continued correctly.
         """
         lock = self.open_locks.setdefault(key, asyncio.Lock())
@@ -54,7 +54,7 @@
             generation = self.generations.get(key)
             if generation is None or await self._needs_restart(generation):
                 generation = await self._start(
-                    key, spec, received, owned=owned
+                    key, spec, received, new_key=new_key
                 )
         if not lock.locked():
             self.open_locks.pop(key, None)
@@ -119,10 +119,10 @@
     ) -> None:
         if not generation.ended and now >= generation.refresh_at:
             generation.refresh_at = now + self._refresh_s
-            self.keys.refresh(
+            self.registrar.refresh(
                 key,
                 generation.epoch,
-                generation.since,
+                generation.start_epoch,
                 generation.spec.fingerprint,
             )
         if generation.readers:
@@ -151,7 +151,7 @@
             return True
         if state == 'refused' and not generation.transcript.tokens:
             return True
-        owned = await self.keys.still_owned(
+        owned = await self.registrar.still_owned(
             generation.key, generation.epoch, generation.spec.fingerprint
         )
         if not owned:
@@ -164,23 +164,25 @@
         spec: _generation.GenerationSpec,
         received: int,
         *,
-        owned: bool,
+        new_key: bool,
     ) -> _generation.Generation:
-        if owned:
+        if new_key:
             # No need to wait: the caller doesn't know the key before the
             # first bytes of the answer.
-            epoch = self.keys.new_epoch()
-            self.keys.refresh(key, epoch, epoch, spec.fingerprint)
+            epoch = self.registrar.new_epoch()
+            self.registrar.refresh(key, epoch, epoch, spec.fingerprint)
             ownership = _keyregistrar.KeyOwnership(epoch, epoch, None)
         else:
-            ownership = await self.keys.take(key, spec.fingerprint, received)
+            ownership = await self.registrar.acquire(
+                key, spec.fingerprint, received
+            )
         generation = _generation.Generation(key, spec, ownership.epoch)
-        generation.since = ownership.since
+        generation.start_epoch = ownership.start_epoch
         generation.refresh_at = time.monotonic() + self._refresh_s
-        if ownership.former is not None:
-            _restore(generation, ownership.former)
+        if ownership.previous_copy is not None:
+            _restore(generation, ownership.previous_copy)
         self.generations[key] = generation
-        self.copies.replicate(generation)
+        self.replicator.replicate(generation)
         if generation.transcript.finish:
             generation.lifecycle.trigger('finish')
             return generation
@@ -191,12 +193,12 @@
 
 
 def _restore(
-    generation: _generation.Generation, former: messages.CopyState
+    generation: _generation.Generation, copy: messages.CopyState
 ) -> None:
     transcript = generation.transcript
-    transcript.tokens = list(former.tokens)
-    transcript.version = former.version
-    transcript.finish = former.finish
+    transcript.tokens = list(copy.tokens)
+    transcript.version = copy.version
+    transcript.finish = copy.finish
     # The previous owner may have shown these tokens, so they are final and
     # visible immediately.
     generation.advance_visible(len(transcript.tokens))
--- a/src/bulrushhold/entry/_replication.py
+++ b/src/bulrushhold/entry/_replication.py
@@ -119,8 +119,8 @@
             batch, peer.dirty = peer.dirty, {}
             started = time.monotonic()
             await self._send(peer, list(batch.values()))
-            spent = time.monotonic() - started
-            await asyncio.sleep(max(0.0, self.config.batch_s - spent))
+            elapsed = time.monotonic() - started
+            await asyncio.sleep(max(0.0, self.config.batch_s - elapsed))
 
     async def _send(
         self, peer: _Peer, batch: list[_generation.Generation]
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -36,7 +36,7 @@
         router: decisions.Router,
         engines: ports.EngineClient,
         policy: decisions.RecoveryPolicy,
-        copies: _replication.TranscriptReplicator,
+        replicator: _replication.TranscriptReplicator,
         admission: _admission.Admission,
         quarantine: _quarantine.Quarantine,
         metrics: ports.Metrics,
@@ -45,12 +45,12 @@
         self.router = router
         self.engines = engines
         self.policy = policy
-        self.copies = copies
+        self.replicator = replicator
         self.admission = admission
         self.quarantine = quarantine
         self.metrics = metrics
         self.retries = decisions.AccountRetryBudget()
-        self.suspects = decisions.EngineCrashTracker()
+        self.crash_tracker = decisions.EngineCrashTracker()
         self.running: dict[
             str, list[tuple[_generation.Generation, _attempts.Attempt]]
         ] = {}
@@ -65,7 +65,7 @@
         try:
             generation.lifecycle.trigger('queue')
             slot = await self.admission.acquire(generation.spec.row)
-            await self._run(generation, live)
+            await self._run_attempts(generation, live)
         except errors.RequestError as error:
             if not generation.lifecycle.ended:
                 generation.lifecycle.trigger('refuse')
@@ -86,12 +86,12 @@
                 )
         finally:
             for attempt in list(live.values()):
-                self._stop(generation, attempt, live)
+                self._stop_attempt(generation, attempt, live)
             if slot is not None:
                 generated = len(generation.transcript.tokens) - initial_length
                 self.admission.release(slot, generated)
 
-    async def _run(
+    async def _run_attempts(
         self,
         generation: _generation.Generation,
         live: dict[int, _attempts.Attempt],
@@ -101,16 +101,16 @@
             if generation.lifecycle.ended:
                 return
             if not live:
-                await self._start(generation, live, started)
+                await self._start_attempt(generation, live, started)
                 continue
             self._stop_losers(generation, live)
             await self._wait_for_change(generation, live)
         generation.lifecycle.trigger('finish')
-        self.suspects.clear(generation.spec.fingerprint)
+        self.crash_tracker.clear(generation.spec.fingerprint)
 
     # Dispatch
 
-    async def _start(
+    async def _start_attempt(
         self,
         generation: _generation.Generation,
         live: dict[int, _attempts.Attempt],
@@ -137,7 +137,7 @@
             time.monotonic(),
             version=transcript.version if transcript.tokens else '',
             avoid=generation.failed_engines | avoid,
-            suspect=self.suspects.may_be_poison(spec.fingerprint),
+            suspect=self.crash_tracker.may_be_poison(spec.fingerprint),
         )
         node.log_decision(
             'route',
@@ -171,15 +171,15 @@
         transcript = generation.transcript
         version = state.server.models[generation.spec.model]
         number = transcript.start_attempt(version)
-        poison_suspect = self.suspects.may_be_poison(
+        may_be_poison = self.crash_tracker.may_be_poison(
             generation.spec.fingerprint
         )
         attempt = _attempts.Attempt(
-            number, state, time.monotonic(), poison_suspect=poison_suspect
+            number, state, time.monotonic(), may_be_poison=may_be_poison
         )
         live[number] = attempt
         state.own_requests += 1
-        state.suspects += poison_suspect
+        state.suspects += may_be_poison
         self.running.setdefault(state.server.name, []).append(
             (generation, attempt)
         )
@@ -188,7 +188,7 @@
         self.retries.count(generation.spec.account, number)
         self.metrics.count('attempts')
         attempt.task = asyncio.get_running_loop().create_task(
-            self._read(generation, attempt)
+            self._read_events(generation, attempt)
         )
         # A callback, since a task cancelled before it starts runs no code.
         attempt.task.add_done_callback(
@@ -207,7 +207,7 @@
 
     # Reading
 
-    async def _read(
+    async def _read_events(
         self, generation: _generation.Generation, attempt: _attempts.Attempt
     ) -> None:
         spec = generation.spec
@@ -224,11 +224,11 @@
             spec.row.deadline_s,
         )
 
-        def take(event: ports.Event) -> bool:
+        def on_event(event: ports.Event) -> bool:
             return self._accept_event(generation, attempt, event)
 
         try:
-            await self.engines.run(address, engine_request, take)
+            await self.engines.run(address, engine_request, on_event)
         except errors.EngineRefusedError as error:
             self._log_loss(generation, attempt, error)
             self._on_engine_refused(generation, attempt, error)
@@ -266,7 +266,7 @@
         attempt.last_event_at = now
         generation.last_token_at = now
         self.policy.budget.delivered += 1
-        self.copies.replicate(generation)
+        self.replicator.replicate(generation)
         return not event.finish
 
     def _on_first_event(
@@ -311,10 +311,10 @@
     ) -> None:
         state = attempt.state
         state.own_requests -= 1
-        state.suspects -= attempt.poison_suspect
-        affected = self.running.get(state.server.name, [])
+        state.suspects -= attempt.may_be_poison
+        running_attempts = self.running.get(state.server.name, [])
         with contextlib.suppress(ValueError):
-            affected.remove((generation, attempt))
+            running_attempts.remove((generation, attempt))
 
     # Loss
 
@@ -354,9 +354,9 @@
             or name in self.crash_probes
         ):
             return
-        affected = list(self.running.get(name, []))
+        running_attempts = list(self.running.get(name, []))
         probe = asyncio.get_running_loop().create_task(
-            self._probe_engine(state, affected)
+            self._probe_engine(state, running_attempts)
         )
         self.crash_probes[name] = probe
         probe.add_done_callback(lambda _: self.crash_probes.pop(name, None))
@@ -364,7 +364,9 @@
     async def _probe_engine(
         self,
         state: decisions.BackendState,
-        affected: list[tuple[_generation.Generation, _attempts.Attempt]],
+        running_attempts: list[
+            tuple[_generation.Generation, _attempts.Attempt]
+        ],
     ) -> None:
         """Count a crash if the engine no longer accepts connections.
 
@@ -373,24 +375,26 @@
         if await self.engines.alive(state.server.address):
             return
         # A request that couldn't connect can't have crashed the engine.
-        affected = [
-            (g, attempt) for g, attempt in affected if attempt.connected
+        running_attempts = [
+            (g, attempt)
+            for g, attempt in running_attempts
+            if attempt.connected
         ]
-        for _, attempt in affected:
+        for _, attempt in running_attempts:
             attempt.crash_counted = True
-        contents = [g.spec.fingerprint for g, _ in affected]
+        contents = [g.spec.fingerprint for g, _ in running_attempts]
         node.log_decision(
             'engine died',
             engine=state.server.name,
             suspects=len(set(contents)),
             reason='connection refused',
         )
-        quarantined = self.suspects.record_engine_crash(contents)
+        quarantined = self.crash_tracker.record_engine_crash(contents)
         for fingerprint in quarantined:
             self.quarantine.add(fingerprint, QUARANTINE_REASON)
-        others = sorted(set(contents) - set(quarantined))
-        if others:
-            self.quarantine.report_crash(others)
+        unconfirmed = sorted(set(contents) - set(quarantined))
+        if unconfirmed:
+            self.quarantine.report_crash(unconfirmed)
 
     async def _await_crash_probe(
         self, generation: _generation.Generation
@@ -400,7 +404,7 @@
         Otherwise a poison request could crash a third engine before the
         second crash has been counted.
         """
-        if not self.suspects.may_be_poison(generation.spec.fingerprint):
+        if not self.crash_tracker.may_be_poison(generation.spec.fingerprint):
             return
         for name in generation.failed_engines & self.crash_probes.keys():
             probe = self.crash_probes.get(name)
@@ -452,7 +456,9 @@
         )
         if action is decisions.Action.HEDGE:
             in_use = frozenset(a.state.server.name for a in live.values())
-            await self._start(generation, live, time.monotonic(), avoid=in_use)
+            await self._start_attempt(
+                generation, live, time.monotonic(), avoid=in_use
+            )
             for attempt in live.values():
                 if attempt.state.server.name not in in_use:
                     attempt.hedge_tokens = cost
@@ -460,7 +466,7 @@
         for attempt in list(live.values()):
             attempt.state.record_failure(time.monotonic())
             generation.failed_engines.add(attempt.state.server.name)
-            self._stop(generation, attempt, live)
+            self._stop_attempt(generation, attempt, live)
 
     def _stop_losers(
         self,
@@ -472,7 +478,7 @@
         for attempt in list(live.values()):
             ended = attempt.task is not None and attempt.task.done()
             if attempt.number not in active_attempts and not ended:
-                self._stop(generation, attempt, live)
+                self._stop_attempt(generation, attempt, live)
 
     def _remove_ended(
         self,
@@ -488,7 +494,7 @@
                 generation.lifecycle.trigger('lose')
         self._stop_losers(generation, live)
 
-    def _stop(
+    def _stop_attempt(
         self,
         generation: _generation.Generation,
         attempt: _attempts.Attempt,
@@ -500,15 +506,15 @@
         if attempt.task is None or attempt.task.done():
             return
         attempt.task.cancel()
-        work = asyncio.get_running_loop().create_task(
+        task = asyncio.get_running_loop().create_task(
             self.engines.cancel(
                 attempt.state.server.address,
                 generation.key,
                 attempt.number,
             )
         )
-        self.background.add(work)
-        work.add_done_callback(self.background.discard)
+        self.background.add(task)
+        task.add_done_callback(self.background.discard)
         state = generation.lifecycle.state
         if not live and state in ('dispatched', 'streaming'):
             if not generation.transcript.finish:
--- a/src/bulrushhold/entry/_server.py
+++ b/src/bulrushhold/entry/_server.py
@@ -58,7 +58,7 @@
         self.metrics = metrics
         self.operators = operators
         self.draining = False
-        self.calls = 0
+        self.calls_in_progress = 0
 
     def application(self) -> web.Application:
         """Return the aiohttp application with all routes."""
@@ -82,7 +82,7 @@
     @property
     def in_progress(self) -> int:
         """The number of requests in progress."""
-        return self.streams.running + self.calls
+        return self.streams.running + self.calls_in_progress
 
     # Errors and admission
 
@@ -182,10 +182,10 @@
                 'quarantine',
                 status=422,
             )
-        owned = not key
+        new_key = not key
         key = key or str(uuid_utils.uuid7())
         generation = await self.streams.open(
-            f'{row.account}/{key}', spec, received, owned=owned
+            f'{row.account}/{key}', spec, received, new_key=new_key
         )
         self.metrics.count('generations')
         generation.readers += 1
@@ -276,7 +276,7 @@
             timeout_s=row.deadline_s,
         )
         slot = await self.admission.acquire_call(row)
-        self.calls += 1
+        self.calls_in_progress += 1
         try:
             if row.idempotent:
                 answer = await self.services.call_idempotent(
@@ -285,7 +285,7 @@
             else:
                 answer = await self._call_once(service, row, call, key)
         finally:
-            self.calls -= 1
+            self.calls_in_progress -= 1
             self.admission.release(slot, 1)
         return web.Response(
             status=answer.status,
@@ -368,7 +368,7 @@
             'generations': self.streams.running,
             'waiting': self.admission.queue.waiting,
             'places': self.admission.queue.capacity,
-            'calls': self.calls,
+            'calls': self.calls_in_progress,
             'backend_servers': backends,
             'quarantined': sorted(self.table.quarantined),
             'entries': {
--- a/src/bulrushhold/entry/_services.py
+++ b/src/bulrushhold/entry/_services.py
@@ -38,7 +38,7 @@
         self.services = services
         self.control = control
         self.metrics = metrics
-        self.records: set[asyncio.Task[bool]] = set()
+        self.recording_tasks: set[asyncio.Task[bool]] = set()
 
     async def call_idempotent(
         self, service: str, row: messages.Row, call: ports.ServiceRequest
@@ -47,10 +47,10 @@
 
         :raises RequestError: if every try failed or the deadline passed.
         """
-        end = time.monotonic() + row.deadline_s
+        deadline = time.monotonic() + row.deadline_s
         tried: set[str] = set()
         last_error: errors.BackendError | None = None
-        while len(tried) < MAX_TRIES and time.monotonic() < end:
+        while len(tried) < MAX_TRIES and time.monotonic() < deadline:
             state = self._choose(service, row, call, tried)
             if state is None:
                 break
@@ -60,7 +60,7 @@
             except errors.BackendError as error:
                 last_error = error
         if last_error is None:
-            raise self._no_server(service)
+            raise self._no_server_error(service)
         raise errors.RequestError(
             last_error.reason,
             last_error.step,
@@ -145,8 +145,8 @@
         claim: messages.Claim,
     ) -> ports.ServiceResponse:
         tried: set[str] = set()
-        end = time.monotonic() + row.deadline_s
-        while len(tried) < MAX_TRIES and time.monotonic() < end:
+        deadline = time.monotonic() + row.deadline_s
+        while len(tried) < MAX_TRIES and time.monotonic() < deadline:
             state = self._choose(service, row, call, tried)
             if state is None:
                 break
@@ -181,7 +181,7 @@
         closed = await self._end_claim(
             claim, errors.Ran.NO, 0, b'', CLOSE_CLAIM_TIMEOUT_S
         )
-        refusal = self._no_server(service)
+        refusal = self._no_server_error(service)
         if not closed:
             refusal.ran = errors.Ran.UNKNOWN
         raise refusal
@@ -194,12 +194,12 @@
         If control has no leader, recording is retried in the background;
         until then, a repeated key gets the reply for a call in progress.
         """
-        work = asyncio.get_running_loop().create_task(
+        task = asyncio.get_running_loop().create_task(
             self._end_claim(claim, errors.Ran.YES, answer.status, answer.body)
         )
-        self.records.add(work)
-        work.add_done_callback(self.records.discard)
-        await asyncio.wait([work], timeout=RECORD_WAIT_S)
+        self.recording_tasks.add(task)
+        task.add_done_callback(self.recording_tasks.discard)
+        await asyncio.wait([task], timeout=RECORD_WAIT_S)
 
     async def _end_claim(
         self,
@@ -211,11 +211,11 @@
     ) -> bool:
         if len(body) > MAX_RECORDED_BYTES:
             ran, status, body = errors.Ran.UNKNOWN, 0, b''
-        end = messages.ClaimEnd(
+        claim_end = messages.ClaimEnd(
             claim.key, claim.holder, ran.value, status, body
         )
         try:
-            await self.control.propose(end, timeout_s)
+            await self.control.propose(claim_end, timeout_s)
         except errors.PeerError:
             self.metrics.count('claims.end_lost')
             return False
@@ -261,7 +261,7 @@
         state.record_success()
         return answer
 
-    def _no_server(self, service: str) -> errors.RequestError:
+    def _no_server_error(self, service: str) -> errors.RequestError:
         listed = self.router.has_kind(service)
         return errors.RequestError(
             f'no server for service {service!r}',
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -281,7 +281,9 @@
     await system.engines['m1'].crash()
     await first.control.propose(messages.Suspected([content]), 5)
     second = system.entries['e2']
-    await conftest.wait_until(lambda: content in second.table.suspects)
+    await conftest.wait_until(
+        lambda: content in second.table.poison_candidates
+    )
     await system.kill_entry('e1')
     with pytest.raises(errors.RequestError) as caught:
         await read(system.client(), prompt=prompt)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -171,4 +171,4 @@
     await system.stop_control()
     answer = await booking
     assert answer.status == 200
-    assert system.entries['e1'].server.services.records
+    assert system.entries['e1'].server.services.recording_tasks
