--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -506,15 +506,15 @@
         if attempt.task is None or attempt.task.done():
             return
         attempt.task.cancel()
-        task = asyncio.get_running_loop().create_task(
+        cancel_task = asyncio.get_running_loop().create_task(
             self.engines.cancel(
                 attempt.state.server.address,
                 generation.key,
                 attempt.number,
             )
         )
-        self.background.add(task)
-        task.add_done_callback(self.background.discard)
+        self.background.add(cancel_task)
+        cancel_task.add_done_callback(self.background.discard)
         state = generation.lifecycle.state
         if not live and state in ('dispatched', 'streaming'):
             if not generation.transcript.finish:
