--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -161,10 +161,10 @@
     def _run_control(self):
         config = self.control_config
         store = node.FileLog(config.data_dir)
-        durable, ident = control.open_replica(config, store)
+        persisted_state, ident = control.open_replica(config, store)
         replica = decisions.Replica(
             ident,
-            durable,
+            persisted_state,
             decisions.Timing(config.heartbeat_s, config.election_s),
             random.Random(1),
             time.monotonic(),
@@ -316,7 +316,7 @@
 
 @pytest_asyncio.fixture
 async def core(tmp_path):
-    made = control_cluster.ControlCluster(tmp_path)
-    yield made
-    for name in list(made.running):
-        await made.stop(name)
+    control_processes = control_cluster.ControlCluster(tmp_path)
+    yield control_processes
+    for name in list(control_processes.running):
+        await control_processes.stop(name)
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -32,8 +32,8 @@
     conftest.assert_complete(tokens, 40)
 
 
-async def test_an_engine_killed_mid_stream_is_continued_elsewhere(system):
-    # No token may be missing, repeated or from another generation.
+async def test_a_stream_continues_on_another_engine_after_a_crash(system):
+    # The answer must have no missing, repeated or foreign token.
     async def kill(tokens):
         await engine_of(system, tokens).crash()
 
@@ -43,8 +43,8 @@
 
 
 @pytest.mark.parametrize('policy', ['thrifty', 'prompt'])
-async def test_a_frozen_engine_that_wakes_adds_no_token(make_system, policy):
-    # Tokens of a replaced attempt must be ignored once its engine resumes.
+async def test_tokens_of_a_replaced_attempt_are_ignored(make_system, policy):
+    # A frozen engine may resume after its attempt has been replaced.
     system = await make_system(
         recovery={'policy': policy, 'min_gap_s': 0.1, 'max_gap_s': 0.2}
     )
@@ -114,9 +114,11 @@
     assert len(alive) == 2
 
 
-async def test_a_request_beside_a_poison_request_completes(make_system):
-    # Both requests become suspects, but must be retried on different engines,
-    # so that only the poison request is quarantined.
+async def test_a_request_on_the_same_engine_as_a_poison_request_completes(
+    make_system,
+):
+    # Either may have caused the crash. They must be retried on different
+    # engines, so that only the poison request is quarantined.
     system = await make_system(engines=4)
     poison_requests = []
 
@@ -145,7 +147,7 @@
     assert sum(e.requests for e in system.engines.values()) == 1
 
 
-async def test_a_lost_entry_is_replaced_by_another(make_system):
+async def test_another_entry_resumes_the_stream_of_a_lost_entry(make_system):
     # The client resumes at another entry, which continues from a copy of the
     # transcript.
     system = await make_system(entries=3)
@@ -178,7 +180,9 @@
     )
 
 
-async def test_a_former_entry_is_fenced_when_another_takes_over(make_system):
+async def test_the_previous_entry_is_fenced_when_another_takes_over(
+    make_system,
+):
     # Otherwise two entries would continue the same answer in different ways.
     system = await make_system(entries=3, gap_s=0.02)
     body = json.dumps(
@@ -268,11 +272,11 @@
     assert leaving.requests <= 1
 
 
-async def test_poison_request_suspects_are_shared_by_all_entries(
+async def test_engine_crashes_of_a_request_are_shared_by_all_entries(
     make_system,
 ):
-    # The first crash must still count when the request is retried at another
-    # entry.
+    # A crash counted at one entry must still count when the request is
+    # retried at another.
     system = await make_system(entries=3, engines=4)
     prompt = [{'role': 'user', 'content': 'CRASH please'}]
     chat = _requests.ChatBody('small', prompt, max_tokens=40)
@@ -363,8 +367,8 @@
     assert sum(e.requests for e in system.engines.values()) == 1
 
 
-async def test_without_its_copy_peers_an_entry_still_serves(make_system):
-    # Losing all copies must not stop the answer.
+async def test_losing_all_copy_peers_does_not_stop_a_stream(make_system):
+    # With no live peer, tokens are sent without being replicated.
     system = await make_system(entries=3)
 
     async def kill_peers(tokens):
@@ -376,7 +380,9 @@
     conftest.assert_complete(tokens, 40)
 
 
-async def test_an_entry_killed_before_the_first_token(make_system):
+async def test_an_answer_restarts_if_its_entry_is_lost_before_the_first_token(
+    make_system,
+):
     # Without a copy, another entry must start the text again.
     system = await make_system(entries=3, gap_s=0.3)
     reading = asyncio.ensure_future(read(system.client(), 4))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -54,7 +54,7 @@
     )
 
 
-async def test_an_engine_killed(deployment):
+async def test_a_stream_survives_a_killed_engine(deployment):
     killed = []
 
     def kill(tokens):
@@ -66,7 +66,7 @@
     deployment.wait_for_port(deployment.engines[killed[0]])
 
 
-async def test_an_engine_frozen_and_woken(deployment):
+async def test_a_stream_survives_a_frozen_engine(deployment):
     frozen = []
 
     def freeze(tokens):
@@ -77,7 +77,7 @@
     deployment.kill(frozen[0], signal.SIGCONT)
 
 
-async def test_an_entry_killed(deployment):
+async def test_a_stream_survives_a_killed_entry(deployment):
     killed = []
 
     def kill(tokens):
@@ -89,9 +89,9 @@
     deployment.wait_until_ready(killed)
 
 
-async def test_an_entry_frozen_and_woken_while_another_goes_on(deployment):
+async def test_a_stream_survives_a_frozen_entry(deployment):
     # Another entry takes over after the client's read timeout, and must fence
-    # the frozen one, so that it adds no tokens after waking.
+    # the frozen one, so that it adds no tokens after it resumes.
     frozen = []
 
     def freeze(tokens):
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize('number', [signal.SIGKILL, signal.SIGSTOP])
-async def test_the_control_leader_lost_while_slots_are_booked(
+async def test_a_lost_control_leader_causes_no_double_booking(
     deployment, number
 ):
     # Retries during the change of leader must not book a slot twice.
@@ -165,8 +165,10 @@
     assert results.count(200) >= 20
 
 
-async def test_no_accepted_edit_is_lost_through_leaders(deployment, tmp_path):
-    # Every accepted edit must survive the loss of the leaders.
+async def test_accepted_edits_survive_the_loss_of_leaders(
+    deployment, tmp_path
+):
+    # The control leader is killed before every third edit.
     path = tmp_path / 'table.csv'
 
     def push_all():
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -10,7 +10,7 @@
 from tests import conftest
 
 
-def key():
+def make_key():
     return str(uuid_utils.uuid7())
 
 
@@ -21,9 +21,9 @@
 
 
 async def test_a_resent_booking_gets_the_first_outcome(system):
-    name = key()
-    first = await book(system, key=name)
-    second = await book(system, key=name)
+    key = make_key()
+    first = await book(system, key=key)
+    second = await book(system, key=key)
     assert first == second
     assert system.booking.runs == {'oven-1': 1}
 
@@ -31,10 +31,10 @@
 async def test_a_booking_whose_answer_was_lost_isnt_run_again(system):
     # The connection breaks after the booking; a second try would book twice.
     system.booking.drop_response = True
-    name = key()
+    key = make_key()
     for _ in range(2):
         with pytest.raises(errors.RequestError) as caught:
-            await book(system, key=name)
+            await book(system, key=key)
         assert caught.value.ran is errors.Ran.UNKNOWN
         system.booking.drop_response = False
     assert system.booking.runs == {'oven-1': 1}
@@ -53,25 +53,25 @@
     # could make a call that was reported as not run.
     port = system.booking.port
     await system.booking.stop()
-    name = key()
+    key = make_key()
     caller = system.client(deadline_s=0)
     with pytest.raises(errors.RequestError) as caught:
         await caller.call(
-            'booking', 'slots', method='POST', body={'slot': 'a'}, key=name
+            'booking', 'slots', method='POST', body={'slot': 'a'}, key=key
         )
     assert caught.value.ran is errors.Ran.NO
     system.booking.port = port
     await system.booking.start()
     with pytest.raises(errors.RequestError, match='use a new key'):
-        await book(system, 'a', key=name)
+        await book(system, 'a', key=key)
     assert not system.booking.runs
 
 
 async def test_a_key_used_for_another_booking_is_refused(system):
-    name = key()
-    await book(system, 'oven-1', key=name)
+    key = make_key()
+    await book(system, 'oven-1', key=key)
     with pytest.raises(errors.RequestError) as caught:
-        await book(system, 'oven-2', key=name)
+        await book(system, 'oven-2', key=key)
     assert caught.value.status == 422
     assert system.booking.runs == {'oven-1': 1}
 
@@ -84,64 +84,65 @@
     assert not system.booking.runs
 
 
-async def test_a_look_up_may_be_repeated(system):
+async def test_an_idempotent_call_returns_the_response(system):
     answer = await system.client().call('booking', 'availability')
     assert b'oven-1' in answer.body
 
 
 async def test_without_control_a_booking_isnt_run(system):
-    # Without a majority there is no claim, so the call must not be made.
+    # Without a majority no claim is committed, so the call must not be made.
     await system.stop_control()
     status, _, answer = await system.post(
         '/v1/services/booking/slots',
         b'{"slot": "a"}',
         Bulrushhold_Account='vendors',
-        Idempotency_Key=key(),
+        Idempotency_Key=make_key(),
     )
     assert status == 503
     assert answer['error']['step'] == 'claim'
     assert not system.booking.runs
 
 
-def start_booking(system, name):
+def start_booking(system, key):
     """Start a booking through e1 without waiting for the answer."""
     return asyncio.ensure_future(
         system.post(
             '/v1/services/booking/slots',
             b'{"slot": "oven-1"}',
             Bulrushhold_Account='vendors',
-            Idempotency_Key=name,
+            Idempotency_Key=key,
         )
     )
 
 
-async def resend(system, name):
+async def resend(system, key):
     """Repeat a booking with the same key through the remaining entries."""
     with pytest.raises(errors.RequestError) as caught:
-        await book(system, key=name)
+        await book(system, key=key)
     return caught.value
 
 
-async def test_an_entry_killed_between_run_and_reply_means_unknown(
+async def test_a_retry_after_a_lost_entry_gets_an_unknown_outcome(
     make_system,
 ):
     # A retry finds a claim without an outcome and must not book again.
     system = await make_system(entries=2)
     system.booking.delay_s = 30.0
-    name = key()
-    first = start_booking(system, name)
+    key = make_key()
+    first = start_booking(system, key)
     await conftest.wait_until(lambda: system.booking.runs)
     await system.kill_entry('e1')
-    error = await resend(system, name)
+    error = await resend(system, key)
     assert (error.status, error.ran) == (409, errors.Ran.UNKNOWN)
     assert system.booking.runs == {'oven-1': 1}
     await asyncio.gather(first, return_exceptions=True)
 
 
-async def test_an_entry_killed_between_claim_and_run_runs_nothing_more(
+async def test_a_claimed_call_is_not_made_by_another_entry(
     make_system,
 ):
-    # No other entry can know that the call wasn't sent, so none may make it.
+    # The entry is lost after the claim. Others can't know that the call wasn't
+    # sent, so they must not make it.
     system = await make_system(entries=2)
     reached = asyncio.Event()
 
@@ -151,20 +152,21 @@
             await asyncio.Event().wait()
 
     system.entries['e1'].server.services.services = HangingService()
-    name = key()
-    first = start_booking(system, name)
+    key = make_key()
+    first = start_booking(system, key)
     await reached.wait()
     await system.kill_entry('e1')
-    error = await resend(system, name)
+    error = await resend(system, key)
     assert error.ran is errors.Ran.UNKNOWN
     assert not system.booking.runs
     await asyncio.gather(first, return_exceptions=True)
 
 
-async def test_losing_control_after_the_claim_does_not_block_the_answer(
+async def test_an_answer_does_not_wait_for_recording_its_outcome(
     system,
 ):
-    # The outcome is recorded in the background; the caller must not wait.
+    # Control is lost after the claim, so recording is retried in the
+    # background.
     system.booking.delay_s = 0.2
     booking = asyncio.ensure_future(book(system))
     await conftest.wait_until(lambda: system.booking.runs)
