--- a/src/bulrushhold/composition/__init__.py
+++ b/src/bulrushhold/composition/__init__.py
@@ -1,7 +1,7 @@
 """The composition root, which builds and runs each kind of process.
 
-Methods import what they need, so that a control process doesn't load the
-HTTP stack and stays within its memory budget.
+Functions import other packages when they run, so that a control process
+doesn't load the HTTP stack and stays within its memory budget.
 """
 
 from bulrushhold.composition._background import start_background_task
--- a/src/bulrushhold/composition/_control.py
+++ b/src/bulrushhold/composition/_control.py
@@ -101,8 +101,8 @@
             (server_task, stop_task), return_when=asyncio.FIRST_COMPLETED
         )
         if server_task.done():
-            # Raises its error. Without one the replica has bootstrapped the
-            # log and is restarted with it by the caller.
+            # Raises the server's error. If there is none, the replica has
+            # bootstrapped the log, and the caller restarts it with that log.
             server_task.result()
     finally:
         server_task.cancel()
--- a/src/bulrushhold/composition/_forwarding.py
+++ b/src/bulrushhold/composition/_forwarding.py
@@ -24,7 +24,7 @@
 SHUTDOWN_TIMEOUT_S: t.Final = 0.2
 # Reserved for closing before the process is killed.
 EXIT_MARGIN_S: t.Final = 0.7
-# Requests accepted later than this before the exit would be cut off.
+# New requests are refused this long before the exit, which would abort them.
 REFUSE_BEFORE_EXIT_S: t.Final = 2.0
 
 
--- a/src/bulrushhold/entry/_admission.py
+++ b/src/bulrushhold/entry/_admission.py
@@ -25,7 +25,7 @@
 
 @attrs.define(eq=False)
 class Slot:
-    """A request's slot, returned by :meth:`Admission.release`.
+    """A request's slot, to be given back with :meth:`Admission.release`.
 
     :param expected: tokens charged in advance.
     :param queued: the request went through the fair queue.
@@ -85,8 +85,9 @@
     async def acquire(self, row: messages.Row) -> Slot:
         """Wait for a slot for a generation.
 
-        :raises RequestError: immediately, with ``retry_after``, if the
-            row's limits or the queue allow no start before the deadline.
+        :raises RequestError: with ``retry_after``; immediately if the limits
+            or the queue allow no start before the deadline, otherwise at
+            the deadline.
         """
         expected = self.expected.get(row.key, DEFAULT_EXPECTED_TOKENS)
         share = self._share(row)
@@ -215,7 +216,7 @@
         return max(1, self.engine_slots // self.engine_quota.entries)
 
     def _weight_in_use(self) -> float:
-        """Return the sum of the weights of the rows in use here.
+        """Return the sum of the weights of the rows in use at this entry.
 
         A large account's callers are spread over several entries, so its
         weight is divided by their number.
--- a/src/bulrushhold/entry/_attempts.py
+++ b/src/bulrushhold/entry/_attempts.py
@@ -17,7 +17,7 @@
         start.
     :param started: the engine has sent an event.
     :param crash_counted: its engine's crash has been counted.
-    :param poison_suspect: the request may be a poison request.
+    :param may_be_poison: the request may be a poison request.
     :param connected: ``False`` if the connection failed, so that the
         request can't have reached the engine.
     :param hedge_tokens: tokens charged to the work budget for a hedged
@@ -55,7 +55,7 @@
         self.stall_timeout_only = False
         most_recent = self._most_recent()
         idle_s = time.monotonic() - most_recent.last_event_at
-        # After the first timeout, or with a hedged attempt, only the loss
+        # After the first check, or with a hedged attempt, only the stall
         # timeout remains.
         self.stall_timeout_only = len(live) > 1 or idle_s >= self._timeout(
             most_recent
--- a/src/bulrushhold/entry/_control.py
+++ b/src/bulrushhold/entry/_control.py
@@ -123,8 +123,9 @@
     """This entry's copy of the table; its revision never decreases.
 
     ``confirmed_at`` is the monotonic time at which the last poll that a
-    leader answered was sent. The callbacks in ``changed`` run after each
-    update.
+    leader answered was sent. The callbacks in ``listeners`` run after each
+    change. ``poison_candidates`` are the contents that ran on an engine when
+    it crashed.
     """
 
     def __init__(
--- a/src/bulrushhold/entry/_generation.py
+++ b/src/bulrushhold/entry/_generation.py
@@ -44,7 +44,7 @@
 class Generation:
     """A generation that is running or has recently ended.
 
-    ``since`` is the epoch in which the text was started. The first
+    ``start_epoch`` is the epoch in which the text was started. The first
     ``visible`` tokens may be sent to the caller. ``acked`` maps each peer
     to the number of tokens it has stored. ``attempt_changed`` is set when
     an attempt sends its first event, ends or stalls.
--- a/src/bulrushhold/entry/_keyregistrar.py
+++ b/src/bulrushhold/entry/_keyregistrar.py
@@ -86,7 +86,7 @@
                 no_majority = True
                 continue
             if pointers.epoch > epoch:
-                # This clock is behind: continue from the current epoch.
+                # This clock is behind: use an epoch above the current one.
                 epoch = (
                     ((pointers.epoch >> 16) + 1) << 16
                 ) | self.epoch_suffix
--- a/src/bulrushhold/entry/_platformview.py
+++ b/src/bulrushhold/entry/_platformview.py
@@ -1,4 +1,4 @@
-"""The instances this entry considers live, by list and by probes."""
+"""View of the live instances: the platform's list, checked by probes."""
 
 import asyncio
 import time
--- a/src/bulrushhold/entry/_quarantine.py
+++ b/src/bulrushhold/entry/_quarantine.py
@@ -27,11 +27,11 @@
 
     @abc.abstractmethod
     def report_crash(self, fingerprints: list[str]) -> None:
-        """Report to all entries the contents on a crashed engine."""
+        """Report the contents that ran on a crashed engine to all entries."""
 
 
 class SharedQuarantine(Quarantine):
-    """Quarantines contents here immediately, and at all entries by control.
+    """Quarantines contents at this entry, and through control at all others.
 
     ``pending`` holds the contents that the table doesn't list yet.
 
@@ -69,7 +69,7 @@
         self.spawn(self._propose_quarantine(fingerprint, reason))
 
     def report_crash(self, fingerprints: list[str]) -> None:
-        """Report to all entries the contents on a crashed engine."""
+        """Report the contents that ran on a crashed engine to all entries."""
         self.spawn(self._propose(messages.Suspected(fingerprints)))
 
     async def _propose(self, command: messages.Message) -> None:
@@ -82,6 +82,7 @@
         await self._propose(
             messages.Quarantine(fingerprint, reason, time.time())
         )
-        # By now the table lists it. Kept here, a lift would have no effect.
+        # The table lists it by now. If it stayed pending, lifting the
+        # quarantine would have no effect at this entry.
         await asyncio.sleep(2 * self.poll_s)
         self.pending.discard(fingerprint)
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -27,7 +27,7 @@
     """Dispatches generations to engines, and recovers from lost engines.
 
     ``running`` maps each engine to the attempts on it, ``crash_probes`` to
-    the check whether it has crashed.
+    the task that checks whether it has crashed.
     """
 
     def __init__(
@@ -281,7 +281,7 @@
         if generation.last_token_at:
             gap = time.monotonic() - generation.last_token_at
             self.metrics.time('resume', gap)
-        # Lets the generation's task stop the attempts that lost.
+        # Wakes the generation's task, which stops the other attempts.
         generation.attempt_changed.set()
 
     def _reject_event(
@@ -316,7 +316,7 @@
         with contextlib.suppress(ValueError):
             running_attempts.remove((generation, attempt))
 
-    # Loss
+    # Failures
 
     def _on_engine_refused(
         self,
@@ -370,7 +370,7 @@
     ) -> None:
         """Count a crash if the engine no longer accepts connections.
 
-        If only the stream broke, no request becomes a poison suspect.
+        If only the stream broke, no request is blamed.
         """
         if await self.engines.alive(state.server.address):
             return
@@ -399,7 +399,7 @@
     async def _await_crash_probe(
         self, generation: _generation.Generation
     ) -> None:
-        """Delay a poison suspect until its engine's probe has finished.
+        """Delay a possible poison request until its engines are probed.
 
         Otherwise a poison request could crash a third engine before the
         second crash has been counted.
@@ -473,7 +473,7 @@
         generation: _generation.Generation,
         live: dict[int, _attempts.Attempt],
     ) -> None:
-        """Stop the attempts that lost to another attempt."""
+        """Stop the attempts that are no longer active in the transcript."""
         active_attempts = generation.transcript.active_attempts
         for attempt in list(live.values()):
             ended = attempt.task is not None and attempt.task.done()
