--- a/src/bulrushhold/composition/_entry.py
+++ b/src/bulrushhold/composition/_entry.py
@@ -87,7 +87,7 @@
             self.spawn,
             config.table_poll_s,
         )
-        runner = entry.GenerationRunner(
+        generation_runner = entry.GenerationRunner(
             config.recovery,
             self.router,
             adapters.HttpEngineClient(self.session),
@@ -98,13 +98,13 @@
             self.metrics,
         )
         self.streams = entry.GenerationRegistry(
-            config, runner, registrar, self.replicator, self.store
+            config, generation_runner, registrar, self.replicator, self.store
         )
         self.table.listeners.append(
             lambda: self.streams.refuse_quarantined(self.table.quarantined)
         )
         self.table.listeners.append(
-            lambda: runner.crash_tracker.add_reported(
+            lambda: generation_runner.crash_tracker.add_reported(
                 self.table.poison_candidates
             )
         )
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -61,18 +61,18 @@
     conftest.assert_complete(tokens, 40)
 
 
-async def test_a_stream_without_its_end_mark_is_continued(system):
+async def test_a_stream_without_a_finish_event_is_continued(system):
     # Without the end mark, the answer may be incomplete even if all tokens
     # have arrived.
     for engine in system.engines.values():
         engine.omit_finish_event = True
 
-    async def restore_end_mark(tokens):
+    async def restore_finish_event(tokens):
         for engine in system.engines.values():
             if engine is not engine_of(system, tokens):
                 engine.omit_finish_event = False
 
-    tokens = await read(system.client(), on={1: restore_end_mark})
+    tokens = await read(system.client(), on={1: restore_finish_event})
     conftest.assert_complete(tokens, 40)
 
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -9,7 +9,7 @@
 from bulrushhold import testing
 from tests import conftest
 
-COUNT = 60
+TOKEN_COUNT = 60
 
 
 @pytest.fixture(scope='module')
@@ -33,12 +33,12 @@
     tokens = []
     async with caller_of(deployment) as caller:
         async for token in caller.generate(
-            'small', conftest.PROMPT, max_tokens=COUNT
+            'small', conftest.PROMPT, max_tokens=TOKEN_COUNT
         ):
             tokens.append(token)
             if len(tokens) == at:
                 await asyncio.to_thread(act, tokens)
-    conftest.assert_complete(tokens, COUNT)
+    conftest.assert_complete(tokens, TOKEN_COUNT)
 
 
 def engine_of(tokens):
@@ -131,13 +131,13 @@
     deployment.wait_until_ready(drained)
 
 
-@pytest.mark.parametrize('number', [signal.SIGKILL, signal.SIGSTOP])
+@pytest.mark.parametrize('signal_number', [signal.SIGKILL, signal.SIGSTOP])
 async def test_a_lost_control_leader_causes_no_double_booking(
-    deployment, number
+    deployment, signal_number
 ):
     # Retries during the change of leader must not book a slot twice.
     leader = deployment.status()['control']['leader'].partition('.')[0]
-    slots = [f'{number.name}-{n}' for n in range(30)]
+    slots = [f'{signal_number.name}-{n}' for n in range(30)]
     async with caller_of(deployment) as caller:
 
         async def book(slot):
@@ -147,10 +147,10 @@
             return answer.status
 
         tasks = [asyncio.ensure_future(book(slot)) for slot in slots[:10]]
-        deployment.kill(leader, number)
+        deployment.kill(leader, signal_number)
         tasks += [asyncio.ensure_future(book(slot)) for slot in slots[10:]]
         results = await asyncio.gather(*tasks, return_exceptions=True)
-    if number is signal.SIGSTOP:
+    if signal_number is signal.SIGSTOP:
         deployment.kill(leader, signal.SIGCONT)
     else:
         deployment.start_control(leader)
