--- a/src/bulrushhold/entry/_admission.py
+++ b/src/bulrushhold/entry/_admission.py
@@ -41,7 +41,8 @@
 class Admission:
     """Fair queue and quotas of one entry.
 
-    The entry also grants quota leases for the rows whose home it is.
+    Each row has one home, an entry chosen by rendezvous hashing, which grants
+    quota leases for the row to all entries.
     """
 
     def __init__(
@@ -208,8 +209,8 @@
         """Return the number of engine slots that this entry may use.
 
         Slots are leased like a row's limit, in proportion to the weights
-        of the rows in use at each entry. If no home can be reached, they
-        are split evenly, which ignores the weights but idles no engine.
+        of the rows in use at each entry. Without a lease, they are split
+        evenly, which ignores the weights but idles no engine.
         """
         if self.engine_quota.has_leased_slots(now):
             return max(1, self.engine_quota.slots_now(now))
--- a/src/bulrushhold/entry/_eventstream.py
+++ b/src/bulrushhold/entry/_eventstream.py
@@ -41,7 +41,7 @@
         self.transport: asyncio.Transport | None = None
 
     async def run(self, transport: asyncio.Transport | None) -> None:
-        """Write events until the end mark or the error event is sent.
+        """Write events up to the final ``[DONE]`` or error event.
 
         :raises ConnectionResetError: if the caller has disconnected.
         """
@@ -134,7 +134,7 @@
 
 
 def _final_events(generation: _generation.Generation) -> bytes:
-    """Encode the end mark, or an error event."""
+    """Encode the finish reason and ``[DONE]``, or an error event."""
     if generation.error is not None:
         return b'event: error\ndata: %b\n\n' % _encode(generation.error.body())
     finish = _encode(generation.transcript.finish)
--- a/src/bulrushhold/entry/_keyregistrar.py
+++ b/src/bulrushhold/entry/_keyregistrar.py
@@ -35,7 +35,13 @@
 
 
 class KeyRegistrar:
-    """Registers this entry as a key's owner and fetches its transcript."""
+    """Registers this entry as a key's owner and fetches its transcript.
+
+    A key's homes are entries chosen by rendezvous hashing. Each holds a
+    pointer: the owner's epoch and the addresses of the transcript's copies.
+
+    :param copy_peers: returns the addresses that this entry replicates to.
+    """
 
     def __init__(
         self,
@@ -129,7 +135,7 @@
     async def _register_new_text(
         self, key: str, epoch: int, fingerprint: str
     ) -> bool:
-        """Register the start of a new text at a majority of homes."""
+        """Register the epoch of a new text at a majority of the homes."""
         pointers = await self._take_pointers(
             key, epoch, fingerprint, new_text=True
         )
@@ -156,8 +162,8 @@
     ) -> None:
         """Renew this entry's ownership at a key's homes, without waiting.
 
-        Otherwise the homes of a long-running text would expire its
-        pointer, and a new home would never learn of it.
+        Otherwise the homes would drop the pointer of a long-running text,
+        and an entry that becomes a home later would never get one.
         """
         request = messages.PointerTake(
             key, epoch, fingerprint, self.copy_peers(), since=start_epoch
--- a/src/bulrushhold/entry/_prober.py
+++ b/src/bulrushhold/entry/_prober.py
@@ -16,7 +16,7 @@
 
 
 class Prober:
-    """Runs the membership protocol over the transport."""
+    """Runs the SWIM membership protocol over the transport."""
 
     def __init__(
         self,
--- a/src/bulrushhold/entry/_quarantine.py
+++ b/src/bulrushhold/entry/_quarantine.py
@@ -15,15 +15,15 @@
 
 
 class Quarantine(abc.ABC):
-    """Quarantines contents at all entries."""
+    """Quarantines request contents, by their fingerprints, at all entries."""
 
     @abc.abstractmethod
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Whether the content is quarantined."""
+        """Whether the request content is quarantined."""
 
     @abc.abstractmethod
     def add(self, fingerprint: str, reason: str) -> None:
-        """Quarantine a content at all entries."""
+        """Quarantine a request content at all entries."""
 
     @abc.abstractmethod
     def report_crash(self, fingerprints: list[str]) -> None:
@@ -33,9 +33,9 @@
 class SharedQuarantine(Quarantine):
     """Quarantines contents at this entry, and through control at all others.
 
-    ``pending`` holds the contents that the table doesn't list yet.
+    ``pending`` holds the fingerprints that the table doesn't list yet.
 
-    :param refuse_streams: fails this entry's streams of these contents.
+    :param refuse_streams: fails this entry's streams of quarantined contents.
     :param spawn: runs a coroutine in the background.
     :param poll_s: seconds between polls of the table.
     """
@@ -56,14 +56,14 @@
         self.pending: set[str] = set()
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Whether the content is quarantined."""
+        """Whether the request content is quarantined."""
         return (
             fingerprint in self.pending
             or fingerprint in self.table.quarantined
         )
 
     def add(self, fingerprint: str, reason: str) -> None:
-        """Quarantine a content at all entries."""
+        """Quarantine a request content at all entries."""
         self.pending.add(fingerprint)
         self.refuse_streams(frozenset(self.pending))
         self.spawn(self._propose_quarantine(fingerprint, reason))
--- a/src/bulrushhold/entry/_registry.py
+++ b/src/bulrushhold/entry/_registry.py
@@ -167,8 +167,8 @@
         new_key: bool,
     ) -> _generation.Generation:
         if new_key:
-            # No need to wait: the caller doesn't know the key before the
-            # first bytes of the answer.
+            # No need to wait: the caller can't send the key to another entry
+            # before it gets the first bytes of the answer.
             epoch = self.registrar.new_epoch()
             self.registrar.refresh(key, epoch, epoch, spec.fingerprint)
             ownership = _keyregistrar.KeyOwnership(epoch, epoch, None)
--- a/src/bulrushhold/entry/_requests.py
+++ b/src/bulrushhold/entry/_requests.py
@@ -126,7 +126,7 @@
     """Return the timestamp of a UUIDv7 key, in seconds since the epoch.
 
     The first 48 bits are milliseconds (RFC 9562). Claims expire by this
-    time, so that a retry after the expiry can be detected.
+    time, so that a retry with an expired key is refused, not run again.
 
     :raises RequestError: if the key isn't a UUIDv7.
     """
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -368,7 +368,7 @@
             tuple[_generation.Generation, _attempts.Attempt]
         ],
     ) -> None:
-        """Count a crash if the engine no longer accepts connections.
+        """Record a crash if the engine refuses connections.
 
         If only the stream broke, no request is blamed.
         """
--- a/src/bulrushhold/entry/_services.py
+++ b/src/bulrushhold/entry/_services.py
@@ -77,7 +77,10 @@
         call: ports.ServiceRequest,
         key: str,
     ) -> ports.ServiceResponse:
-        """Make a call at most once, under a claim on its key.
+        """Make a call at most once.
+
+        A claim on the key, committed by control, gives one entry the right
+        to make the call. The outcome is recorded with the claim.
 
         :raises RequestError: with ``ran`` saying whether the call was
             made, as far as is known.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -27,6 +27,7 @@
 
 
 def known_failures():
+    """Return the lines of KNOWN-RED.txt by test id."""
     if not KNOWN_FAILURES.exists():
         return {}
     lines = KNOWN_FAILURES.read_text().splitlines()
@@ -34,6 +35,7 @@
 
 
 def pytest_collection_modifyitems(config, items):
+    """Deselect the known failures, which the summary lists instead."""
     failures = known_failures()
     deselected = [item for item in items if item.nodeid in failures]
     for item in deselected:
@@ -69,7 +71,12 @@
 
 @attrs.define(slots=False)
 class System:
-    """A system of a control replica, entries, engines, a booking service."""
+    """A control replica, entries, fake engines and a fake booking service.
+
+    :param recovery: the entries' recovery settings, as are ``copies``.
+    :param options: further settings of the entries.
+    :param slots: slots of each engine.
+    """
 
     folder: pathlib.Path
     recovery: dict = attrs.field(factory=dict)
@@ -140,6 +147,7 @@
         )
 
     async def publish_list(self, leaving=()):
+        """Publish the current instances and let every entry fetch them."""
         self.platform.platform = self.listing(leaving)
         for entry in self.entries.values():
             await entry.view.poll()
@@ -309,7 +317,7 @@
 
 
 def assert_complete(tokens, count):
-    """Assert that all tokens are present, in order, of one generation."""
+    """Assert that all tokens of one generation are present and in order."""
     generation = tokens[0].partition(':')[0]
     assert tokens == [f'{generation}:{n} ' for n in range(count)]
 
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -62,8 +62,8 @@
 
 
 async def test_a_stream_without_a_finish_event_is_continued(system):
-    # Without the end mark, the answer may be incomplete even if all tokens
-    # have arrived.
+    # Without a finish event, an answer that broke off can't be told from a
+    # complete one.
     for engine in system.engines.values():
         engine.omit_finish_event = True
 
