--- a/src/bulrushhold/composition/_control.py
+++ b/src/bulrushhold/composition/_control.py
@@ -70,10 +70,10 @@
     from bulrushhold import node
 
     store = node.FileLog(config.data_dir)
-    durable, ident = control.open_replica(config, store)
+    persisted_state, ident = control.open_replica(config, store)
     replica = decisions.Replica(
         ident,
-        durable,
+        persisted_state,
         decisions.Timing(config.heartbeat_s, config.election_s),
         random.Random(),
         node.boot_time(),
@@ -101,8 +101,8 @@
             (server_task, stop_task), return_when=asyncio.FIRST_COMPLETED
         )
         if server_task.done():
-            # Raises its error. Without one the replica has bootstrapped the
-            # log and is restarted with it by the caller.
+            # Raises the server's error. If there is none, the replica has
+            # bootstrapped the log, and the caller restarts it with that log.
             server_task.result()
     finally:
         server_task.cancel()
--- a/src/bulrushhold/entry/_admission.py
+++ b/src/bulrushhold/entry/_admission.py
@@ -25,7 +25,7 @@
 
 @attrs.define(eq=False)
 class Slot:
-    """A request's slot, returned by :meth:`Admission.release`.
+    """A request's slot, to be given back with :meth:`Admission.release`.
 
     :param expected: tokens charged in advance.
     :param queued: the request went through the fair queue.
@@ -41,7 +41,8 @@
 class Admission:
     """Fair queue and quotas of one entry.
 
-    The entry also grants quota leases for the rows whose home it is.
+    Each row has one home, an entry chosen by rendezvous hashing, which grants
+    quota leases for the row to all entries.
     """
 
     def __init__(
@@ -85,8 +86,9 @@
     async def acquire(self, row: messages.Row) -> Slot:
         """Wait for a slot for a generation.
 
-        :raises RequestError: immediately, with ``retry_after``, if the
-            row's limits or the queue allow no start before the deadline.
+        :raises RequestError: with ``retry_after``; immediately if the limits
+            or the queue allow no start before the deadline, otherwise at
+            the deadline.
         """
         expected = self.expected.get(row.key, DEFAULT_EXPECTED_TOKENS)
         share = self._share(row)
@@ -207,15 +209,15 @@
         """Return the number of engine slots that this entry may use.
 
         Slots are leased like a row's limit, in proportion to the weights
-        of the rows in use at each entry. If no home can be reached, they
-        are split evenly, which ignores the weights but idles no engine.
+        of the rows in use at each entry. Without a lease, they are split
+        evenly, which ignores the weights but idles no engine.
         """
         if self.engine_quota.has_leased_slots(now):
             return max(1, self.engine_quota.slots_now(now))
         return max(1, self.engine_slots // self.engine_quota.entries)
 
     def _weight_in_use(self) -> float:
-        """Return the sum of the weights of the rows in use here.
+        """Return the sum of the weights of the rows in use at this entry.
 
         A large account's callers are spread over several entries, so its
         weight is divided by their number.
@@ -297,13 +299,13 @@
         homes = decisions.home_entries(f'quota {share.row.key}', entries, 1)
         if not homes:
             return
-        want = max(1.0, float(share.running + share.waiting))
+        demand = max(1.0, float(share.running + share.waiting))
         if share is self.engine_quota:
-            want = self._weight_in_use()
+            demand = self._weight_in_use()
         ask = messages.QuotaAsk(
             share.row.key,
             self.config.name,
-            want,
+            demand,
             share.need,
             share.running_on_lease,
             len(entries),
--- a/src/bulrushhold/entry/_quarantine.py
+++ b/src/bulrushhold/entry/_quarantine.py
@@ -15,27 +15,27 @@
 
 
 class Quarantine(abc.ABC):
-    """Quarantines contents at all entries."""
+    """Quarantines request contents, by their fingerprints, at all entries."""
 
     @abc.abstractmethod
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Whether the content is quarantined."""
+        """Whether the request content is quarantined."""
 
     @abc.abstractmethod
     def add(self, fingerprint: str, reason: str) -> None:
-        """Quarantine a content at all entries."""
+        """Quarantine a request content at all entries."""
 
     @abc.abstractmethod
     def report_crash(self, fingerprints: list[str]) -> None:
-        """Report to all entries the contents on a crashed engine."""
+        """Report the contents that ran on a crashed engine to all entries."""
 
 
 class SharedQuarantine(Quarantine):
-    """Quarantines contents here immediately, and at all entries by control.
+    """Quarantines contents at this entry, and through control at all others.
 
-    ``pending`` holds the contents that the table doesn't list yet.
+    ``pending`` holds the fingerprints that the table doesn't list yet.
 
-    :param refuse_streams: fails this entry's streams of these contents.
+    :param refuse_streams: fails this entry's streams of quarantined contents.
     :param spawn: runs a coroutine in the background.
     :param poll_s: seconds between polls of the table.
     """
@@ -56,20 +56,20 @@
         self.pending: set[str] = set()
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Whether the content is quarantined."""
+        """Whether the request content is quarantined."""
         return (
             fingerprint in self.pending
             or fingerprint in self.table.quarantined
         )
 
     def add(self, fingerprint: str, reason: str) -> None:
-        """Quarantine a content at all entries."""
+        """Quarantine a request content at all entries."""
         self.pending.add(fingerprint)
         self.refuse_streams(frozenset(self.pending))
         self.spawn(self._propose_quarantine(fingerprint, reason))
 
     def report_crash(self, fingerprints: list[str]) -> None:
-        """Report to all entries the contents on a crashed engine."""
+        """Report the contents that ran on a crashed engine to all entries."""
         self.spawn(self._propose(messages.Suspected(fingerprints)))
 
     async def _propose(self, command: messages.Message) -> None:
@@ -82,6 +82,7 @@
         await self._propose(
             messages.Quarantine(fingerprint, reason, time.time())
         )
-        # By now the table lists it. Kept here, a lift would have no effect.
+        # The table lists it by now. If it stayed pending, lifting the
+        # quarantine would have no effect at this entry.
         await asyncio.sleep(2 * self.poll_s)
         self.pending.discard(fingerprint)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -9,7 +9,7 @@
 from bulrushhold import testing
 from tests import conftest
 
-COUNT = 60
+TOKEN_COUNT = 60
 
 
 @pytest.fixture(scope='module')
@@ -33,12 +33,12 @@
     tokens = []
     async with caller_of(deployment) as caller:
         async for token in caller.generate(
-            'small', conftest.PROMPT, max_tokens=COUNT
+            'small', conftest.PROMPT, max_tokens=TOKEN_COUNT
         ):
             tokens.append(token)
             if len(tokens) == at:
                 await asyncio.to_thread(act, tokens)
-    conftest.assert_complete(tokens, COUNT)
+    conftest.assert_complete(tokens, TOKEN_COUNT)
 
 
 def engine_of(tokens):
@@ -54,7 +54,7 @@
     )
 
 
-async def test_an_engine_killed(deployment):
+async def test_a_stream_survives_a_killed_engine(deployment):
     killed = []
 
     def kill(tokens):
@@ -66,7 +66,7 @@
     deployment.wait_for_port(deployment.engines[killed[0]])
 
 
-async def test_an_engine_frozen_and_woken(deployment):
+async def test_a_stream_survives_a_frozen_engine(deployment):
     frozen = []
 
     def freeze(tokens):
@@ -77,7 +77,7 @@
     deployment.kill(frozen[0], signal.SIGCONT)
 
 
-async def test_an_entry_killed(deployment):
+async def test_a_stream_survives_a_killed_entry(deployment):
     killed = []
 
     def kill(tokens):
@@ -89,9 +89,9 @@
     deployment.wait_until_ready(killed)
 
 
-async def test_an_entry_frozen_and_woken_while_another_goes_on(deployment):
+async def test_a_stream_survives_a_frozen_entry(deployment):
     # Another entry takes over after the client's read timeout, and must fence
-    # the frozen one, so that it adds no tokens after waking.
+    # the frozen one, so that it adds no tokens after it resumes.
     frozen = []
 
     def freeze(tokens):
@@ -131,13 +131,13 @@
     deployment.wait_until_ready(drained)
 
 
-@pytest.mark.parametrize('number', [signal.SIGKILL, signal.SIGSTOP])
-async def test_the_control_leader_lost_while_slots_are_booked(
-    deployment, number
+@pytest.mark.parametrize('signal_number', [signal.SIGKILL, signal.SIGSTOP])
+async def test_a_lost_control_leader_causes_no_double_booking(
+    deployment, signal_number
 ):
     # Retries during the change of leader must not book a slot twice.
     leader = deployment.status()['control']['leader'].partition('.')[0]
-    slots = [f'{number.name}-{n}' for n in range(30)]
+    slots = [f'{signal_number.name}-{n}' for n in range(30)]
     async with caller_of(deployment) as caller:
 
         async def book(slot):
@@ -147,10 +147,10 @@
             return answer.status
 
         tasks = [asyncio.ensure_future(book(slot)) for slot in slots[:10]]
-        deployment.kill(leader, number)
+        deployment.kill(leader, signal_number)
         tasks += [asyncio.ensure_future(book(slot)) for slot in slots[10:]]
         results = await asyncio.gather(*tasks, return_exceptions=True)
-    if number is signal.SIGSTOP:
+    if signal_number is signal.SIGSTOP:
         deployment.kill(leader, signal.SIGCONT)
     else:
         deployment.start_control(leader)
@@ -165,8 +165,10 @@
     assert results.count(200) >= 20
 
 
-async def test_no_accepted_edit_is_lost_through_leaders(deployment, tmp_path):
-    # Every accepted edit must survive the loss of the leaders.
+async def test_accepted_edits_survive_the_loss_of_leaders(
+    deployment, tmp_path
+):
+    # The control leader is killed before every third edit.
     path = tmp_path / 'table.csv'
 
     def push_all():
