--- a/src/bulrushhold/control/_clusterview.py
+++ b/src/bulrushhold/control/_clusterview.py
@@ -23,12 +23,12 @@
 
     def __init__(self, clock: cabc.Callable[[], float]) -> None:
         self.clock = clock
-        self.core: list[str] = []
+        self.voter_addresses: list[str] = []
         self.route_map: bytes | None = None
         self.map_version = 0
         self.backends: list[messages.ListedBackend] | None = None
         self.backends_version = ''
-        self.backends_at = 0.0
+        self.backends_read_at = 0.0
         self.entries: list[messages.ListedEntry] = []
         self.entries_version = ''
         self.nodes: list[messages.ControlNode] = []
@@ -71,12 +71,12 @@
         newer_nodes = self.nodes_version not in ('', versions.nodes)
         return messages.WatchReply(
             'done',
-            core=self.core,
+            core=self.voter_addresses,
             route_map=self.route_map if newer_map else None,
             map_version=self.map_version,
             backends_version=self.backends_version,
             backends=self.backends if newer_backends else None,
-            backends_age_s=round(self.clock() - self.backends_at, 3),
+            backends_age_s=round(self.clock() - self.backends_read_at, 3),
             entries_version=self.entries_version,
             entries=self.entries if newer_entries else None,
             nodes_version=self.nodes_version,
@@ -96,7 +96,7 @@
         """Apply a reply of the leader; wake long polls on a change."""
         versions = self.versions()
         if reply.core:
-            self.core = reply.core
+            self.voter_addresses = reply.core
         # Ignore older versions: a deposed leader may answer late.
         if reply.route_map is not None:
             if reply.map_version > self.map_version:
@@ -107,7 +107,7 @@
             self.backends = reply.backends
             self.backends_version = version
         if version and version == self.backends_version:
-            self.backends_at = self.clock() - reply.backends_age_s
+            self.backends_read_at = self.clock() - reply.backends_age_s
         if messages.is_newer(reply.entries_version, self.entries_version):
             assert reply.entries is not None
             self.entries = reply.entries
--- a/src/bulrushhold/control/_leader.py
+++ b/src/bulrushhold/control/_leader.py
@@ -90,7 +90,9 @@
 
     def _update_members(self, now: float) -> None:
         view = self.view
-        view.core = sorted(self.server.replica.config.voters.values())
+        view.voter_addresses = sorted(
+            self.server.replica.config.voters.values()
+        )
         version = self.registry.version(now)
         if version not in ('', view.entries_version):
             view.entries = self.registry.entries()
@@ -124,7 +126,7 @@
             )
             return
         view = self.view
-        view.backends_at = self._now()
+        view.backends_read_at = self._now()
         term = f'{self.server.replica.term}.'
         if backends == view.backends and view.backends_version.startswith(
             term
--- a/src/bulrushhold/control/_relay.py
+++ b/src/bulrushhold/control/_relay.py
@@ -47,12 +47,12 @@
         self.bootstraps = bootstraps
         self.clock = clock
         self.leader = ''
-        self.core: list[str] = []
+        self.voter_addresses: list[str] = []
         self.join_candidates: dict[str, str] = {}
         self.bootstrap_address = ''
         self.first_join_at: float | None = None
         self.leader_client = _leaderclient.LeaderClient(
-            transport, lambda: self.leader, self._never_local
+            transport, lambda: self.leader, self._handle_locally
         )
         transport.handle(messages.JoinRequest, self._on_join)
         transport.handle(messages.CoreRead, self._on_core_read)
@@ -71,7 +71,11 @@
             await asyncio.sleep(interval_s)
 
     async def _find_leader(self) -> None:
-        addresses = [self.leader, *self.core, *self.join_candidates.values()]
+        addresses = [
+            self.leader,
+            *self.voter_addresses,
+            *self.join_candidates.values(),
+        ]
         for address in dict.fromkeys([*addresses, *self.contacts]):
             if not address or address == self.peer:
                 continue
@@ -86,7 +90,7 @@
 
     def _update_members(self, reply: messages.CoreReply) -> None:
         if reply.config.voters:
-            self.core = sorted(reply.config.voters.values())
+            self.voter_addresses = sorted(reply.config.voters.values())
         if reply.leader:
             self._set_leader(reply.leader)
 
@@ -124,11 +128,11 @@
         self, read: messages.CoreRead
     ) -> messages.CoreReply:
         del read
-        voters = {address: address for address in self.core}
+        voters = {address: address for address in self.voter_addresses}
         return messages.CoreReply(self.leader, messages.Config(voters=voters))
 
     async def _on_core_reply(self, reply: messages.CoreReply) -> None:
         self._update_members(reply)
 
-    async def _never_local(self, request: messages.Message) -> None:
+    async def _handle_locally(self, request: messages.Message) -> None:
         del request
--- a/src/bulrushhold/control/_watch.py
+++ b/src/bulrushhold/control/_watch.py
@@ -92,7 +92,7 @@
         if self.has_leader_contact():
             reply = self.view.reply(watch.known)
         else:
-            core = self.view.core
+            core = self.view.voter_addresses
             reply = messages.WatchReply('not_leader', self.leader(), core)
         return attrs.evolve(reply, loads=self._summary(watch))
 
--- a/src/bulrushhold/node/_filelog.py
+++ b/src/bulrushhold/node/_filelog.py
@@ -93,21 +93,23 @@
 
         :raises StorageError: for any other damage, with file and offset.
         """
-        durable = decisions.PersistedState(founding=founding)
+        persisted_state = decisions.PersistedState(founding=founding)
         snapshot = self._read(self.snapshot_path)
         if snapshot is not None:
-            durable.snapshot = self._load_snapshot(snapshot)
+            persisted_state.snapshot = self._load_snapshot(snapshot)
         data = self._read(self.log_path) or b''
         payloads, valid_length = self._read_records(
             data, self.log_path, allow_torn_tail=True
         )
         for payload in payloads:
-            self._replay(_RECORD_DECODER.decode(payload), durable)
-        if durable.snapshot is not None:
-            durable.term = max(durable.term, durable.snapshot.term)
-        self.term, self.vote = durable.term, durable.vote
+            self._replay(_RECORD_DECODER.decode(payload), persisted_state)
+        if persisted_state.snapshot is not None:
+            persisted_state.term = max(
+                persisted_state.term, persisted_state.snapshot.term
+            )
+        self.term, self.vote = persisted_state.term, persisted_state.vote
         self._open_log(valid_length)
-        return durable
+        return persisted_state
 
     def save(
         self, term: int, vote: str, entries: list[messages.LogEntry]
@@ -161,20 +163,22 @@
             raise self._error('damaged', self.snapshot_path) from error
 
     def _replay(
-        self, record: _Record, durable: decisions.PersistedState
+        self, record: _Record, persisted_state: decisions.PersistedState
     ) -> None:
-        durable.term, durable.vote = record.term, record.vote
-        snapshot_index = durable.snapshot.index if durable.snapshot else 0
+        persisted_state.term, persisted_state.vote = record.term, record.vote
+        snapshot_index = (
+            persisted_state.snapshot.index if persisted_state.snapshot else 0
+        )
         for entry in record.entries:
             if entry.index <= snapshot_index:
                 continue
             position = entry.index - snapshot_index - 1
-            if position > len(durable.entries):
+            if position > len(persisted_state.entries):
                 raise self._error(
                     f'entries before {entry.index} are missing', self.log_path
                 )
-            del durable.entries[position:]
-            durable.entries.append(entry)
+            del persisted_state.entries[position:]
+            persisted_state.entries.append(entry)
 
     def _read_records(
         self, data: bytes, path: pathlib.Path, *, allow_torn_tail: bool
--- a/tests/test_fleet_control.py
+++ b/tests/test_fleet_control.py
@@ -29,33 +29,33 @@
     """Three replicas, a relay in each of two data centres, two entries."""
 
     def __init__(self, core):
-        self.core = core
+        self.cluster = core
         self.tasks = {}
         self.transports = {}
         self.relays = {}
         self.entries = {}
 
     async def start(self):
-        peers = {name: self.core.address() for name in 'xyz'}
+        peers = {name: self.cluster.address() for name in 'xyz'}
         for name, peer in peers.items():
-            server = self.core.start(name, peer, peers)
+            server = self.cluster.start(name, peer, peers)
             fleet = control.FleetControl(server, 'x', StaticBackendList())
             self.run(name, fleet.run())
         contacts = list(map(str, peers.values()))
         for name in 'ab':
             self.start_relay(name, contacts)
-        await self.core.until(lambda: self.core.leader() is not None)
+        await self.cluster.until(lambda: self.cluster.leader() is not None)
         self.put(1)
         for name in 'ab':
             self.start_entry(name, contacts)
-        await self.core.until(self.settled)
+        await self.cluster.until(self.settled)
 
     def put(self, version):
         route_map = routes.RouteMap(version, [], [routes.Service('engines')])
         packed = messages.pack_map(route_map)
         command = messages.RouteMapPut(version, packed, b'source')
-        self.core.leader().replica.propose(messages.encode(command))
-        self.core.leader().wakeup.set()
+        self.cluster.leader().replica.propose(messages.encode(command))
+        self.cluster.leader().wakeup.set()
 
     def run(self, name, coroutine):
         self.tasks.setdefault(name, []).append(
@@ -63,7 +63,7 @@
         )
 
     def start_relay(self, name, contacts):
-        address = str(self.core.address())
+        address = str(self.cluster.address())
         transport = node.ZmqTransport(address)
         relay = control.Relay(transport, address, contacts, bootstraps=False)
         fleet = control.FleetRelay(relay, name)
@@ -74,7 +74,7 @@
 
     def start_entry(self, name, contacts):
         placement = decisions.Placement(random.Random(1))
-        transport = node.ZmqTransport(str(self.core.address()))
+        transport = node.ZmqTransport(str(self.cluster.address()))
         entry = forwarding.FleetView(
             messages.ListedEntry(f'e-{name}', name, '10.0.1.1:80', True),
             contacts,
@@ -112,7 +112,7 @@
     async def wait_for_running(self, count):
         """Wait until entry b counts this many streams of entry a."""
         backend = self.entries['b'].placement.backends['i1']
-        await self.core.until(lambda: backend.remote_load.running == count)
+        await self.cluster.until(lambda: backend.remote_load.running == count)
 
 
 @pytest_asyncio.fixture
@@ -135,14 +135,14 @@
     now = time.monotonic()
     fleet.entries['a'].placement.record_failure('i2', now, unreachable=True)
     backend = fleet.entries['b'].placement.backends['i2']
-    await fleet.core.until(lambda: backend.ejected_until > now, 0.3)
+    await fleet.cluster.until(lambda: backend.ejected_until > now, 0.3)
 
 
 async def test_load_is_shared_without_a_leader(fleet):
     """Load reports must not depend on the leader."""
-    leader = fleet.core.leader().config.name
+    leader = fleet.cluster.leader().config.name
     await fleet.stop(leader)
-    await fleet.core.stop(leader)
+    await fleet.cluster.stop(leader)
     placement = fleet.entries['a'].placement
     for count in range(1, 6):
         placement.stream_started(placement.backends['i1'], 8000)
@@ -161,14 +161,14 @@
     assert time.monotonic() - started_at < 1.5
     assert fleet.entries['b'].placement.backends['i3'].ejected_until
     fleet.put(2)
-    await fleet.core.until(lambda: entry.map_version == 2, 1.0)
+    await fleet.cluster.until(lambda: entry.map_version == 2, 1.0)
     assert entry.entry_count() == 2
 
 
 async def test_a_new_route_map_reaches_all_data_centres(fleet):
     fleet.put(5)
     for entry in fleet.entries.values():
-        await fleet.core.until(lambda e=entry: e.map_version == 5, 1.0)
+        await fleet.cluster.until(lambda e=entry: e.map_version == 5, 1.0)
 
 
 async def test_a_stopped_entry_is_no_longer_counted(fleet):
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -9,7 +9,7 @@
 from bulrushhold import settings
 
 
-async def start_core(core):
+async def start_cluster(core):
     peers = {name: core.address() for name in ('a', 'b', 'c')}
     for name, peer in peers.items():
         core.start(name, peer, peers)
@@ -23,7 +23,7 @@
     # The new replica only has a stale list of contacts. If it could not
     # reply to the leader, it would never catch up, and the next lost disk
     # would leave a single copy of the log.
-    peers = await start_core(core)
+    peers = await start_cluster(core)
     stopped = next(n for n in 'abc' if core.running[n][0] is not core.leader())
     await core.stop(stopped)
     replacement = core.start('d', core.address(), contacts=peers.values())
@@ -42,7 +42,7 @@
 
 
 async def test_a_replica_that_lost_its_disk_becomes_a_voter_again(core):
-    peers = await start_core(core)
+    peers = await start_cluster(core)
     stopped = next(n for n in 'abc' if core.running[n][0] is not core.leader())
     await core.stop(stopped)
     for file in (core.folder / stopped).iterdir():
@@ -61,7 +61,7 @@
 
 
 async def test_an_empty_replica_finds_the_leader_through_a_follower(core):
-    peers = await start_core(core)
+    peers = await start_cluster(core)
     follower = next(
         n for n in 'abc' if core.running[n][0] is not core.leader()
     )
@@ -139,7 +139,7 @@
     fleet = control.FleetRelay(relay, 'dc')
     relay_task = asyncio.ensure_future(relay.run())
     await core.until(lambda: relay.leader != '')
-    assert relay.core == sorted(map(str, peers.values()))
+    assert relay.voter_addresses == sorted(map(str, peers.values()))
     entry = messages.ListedEntry('e1', 'dc', '127.0.0.1:1', True)
     reply = await fleet.watch._on_watch(
         messages.Watch(entry, messages.Known(), hold_s=0.0)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -35,17 +35,17 @@
 def reload(store):
     store.close()
     reopened = node.FileLog(store.folder)
-    durable = reopened.load(FOUNDING)
+    persisted_state = reopened.load(FOUNDING)
     reopened.close()
-    return durable
+    return persisted_state
 
 
 def test_saved_records_are_loaded(store):
     store.save(1, 'c1', entries(1, 3))
     store.save(2, 'c2', [])
-    durable = reload(store)
-    assert (durable.term, durable.vote) == (2, 'c2')
-    assert durable.entries == entries(1, 3)
+    persisted_state = reload(store)
+    assert (persisted_state.term, persisted_state.vote) == (2, 'c2')
+    assert persisted_state.entries == entries(1, 3)
 
 
 def test_an_entry_replaces_all_from_its_index_on(store):
@@ -111,10 +111,10 @@
     state = messages.InstallSnapshot(3, '', 3, 1, FOUNDING, b'state', 0)
     store.save_snapshot(state, entries(4, 5))
     store.log_path.write_bytes(old_log)
-    durable = reload(store)
-    assert durable.snapshot.index == 3
-    assert durable.entries == entries(4, 5)
-    assert (durable.term, durable.vote) == (3, 'c1')
+    persisted_state = reload(store)
+    assert persisted_state.snapshot.index == 3
+    assert persisted_state.entries == entries(4, 5)
+    assert (persisted_state.term, persisted_state.vote) == (3, 'c1')
 
 
 def test_a_failed_sync_raises_a_storage_error(store, monkeypatch):
@@ -144,11 +144,11 @@
         'c1', 'north', address, str(tmp_path), {'c1': address}
     )
     store = node.FileLog(tmp_path)
-    durable, ident = control.open_replica(config, store)
+    persisted_state, ident = control.open_replica(config, store)
     store.close()
     assert ident.startswith('c1.')
     assert ident != 'c1.founder'
-    assert durable.founding == messages.Config()
+    assert persisted_state.founding == messages.Config()
 
 
 async def test_a_full_disk_stops_the_control_process(make_system):
@@ -222,8 +222,8 @@
     store.close()
     monkeypatch.setattr(os, 'write', real_write)
     reopened = node.FileLog(tmp_path)
-    durable = reopened.load(messages.Config())
-    assert [entry.data for entry in durable.entries] == [b'kept']
+    persisted_state = reopened.load(messages.Config())
+    assert [entry.data for entry in persisted_state.entries] == [b'kept']
     reopened.save(1, 'a', [messages.LogEntry(2, 1, 1, b'next')])
     reopened.close()
     entries = node.FileLog(tmp_path).load(messages.Config()).entries
