--- a/src/bulrushhold/control/_follower.py
+++ b/src/bulrushhold/control/_follower.py
@@ -24,8 +24,8 @@
     """Long-polls the leader and reports the locally attached entries to it.
 
     :param local_node: this process.
-    :param leader: returns the leader's address, or ``''`` if it is unknown.
-        Nothing is polled if it is this process's own address.
+    :param leader_address: returns the leader's address, or ``''`` if it is
+        unknown. Nothing is polled if it is this process's own address.
     :param entries: returns the entries that are attached to this process.
     """
 
@@ -34,14 +34,14 @@
         transport: ports.Transport,
         local_node: messages.ControlNode,
         view: _clusterview.ClusterView,
-        leader: cabc.Callable[[], str],
+        leader_address: cabc.Callable[[], str],
         entries: cabc.Callable[[], list[messages.ListedEntry]],
         clock: cabc.Callable[[], float],
     ) -> None:
         self.transport = transport
         self.local_node = local_node
         self.view = view
-        self.leader = leader
+        self.leader_address = leader_address
         self.entries = entries
         self.clock = clock
         self.last_reply_at = float('-inf')
@@ -65,7 +65,7 @@
             self.transport.send(leader, self._watch_request(0.0))
 
     def _remote_leader(self) -> str:
-        leader = self.leader()
+        leader = self.leader_address()
         return '' if leader == self.local_node.address else leader
 
     def _watch_request(self, hold_s: float) -> messages.NodeWatch:
--- a/src/bulrushhold/control/_leader.py
+++ b/src/bulrushhold/control/_leader.py
@@ -86,9 +86,9 @@
         expired = self.registry.expire(now)
         if expired:
             node.log_decision('entries expired', entries=expired)
-        self._update_members(now)
+        self._update_entries_and_nodes(now)
 
-    def _update_members(self, now: float) -> None:
+    def _update_entries_and_nodes(self, now: float) -> None:
         view = self.view
         view.voter_addresses = sorted(
             self.server.replica.config.voters.values()
@@ -99,13 +99,13 @@
             view.entries_version = version
             view.notify()
         self.nodes = {
-            address: (member, seen_at)
-            for address, (member, seen_at) in self.nodes.items()
+            address: (control_node, seen_at)
+            for address, (control_node, seen_at) in self.nodes.items()
             if now - seen_at <= NODE_TIMEOUT_S
         }
         live = [
             self.local_node,
-            *(member for member, _ in self.nodes.values()),
+            *(control_node for control_node, _ in self.nodes.values()),
         ]
         view.update_nodes(sorted(live, key=str))
 
@@ -153,7 +153,7 @@
         self.registry.begin_term(self.server.replica.term, now)
         self.nodes[watch.node.address] = (watch.node, now)
         self.registry.refresh_source(watch.node.address, watch.entries, now)
-        self._update_members(now)
+        self._update_entries_and_nodes(now)
 
     # Long polls of other control processes
 
--- a/src/bulrushhold/control/_leaderclient.py
+++ b/src/bulrushhold/control/_leaderclient.py
@@ -18,7 +18,7 @@
 class LeaderClient:
     """Sends requests to the current leader and retries until a timeout.
 
-    :param leader: returns the leader's address, or ``''``.
+    :param leader_address: returns the leader's address, or ``''``.
     :param handle_locally: answers a request in this process if it is the
         leader, else returns ``None``.
     """
@@ -26,13 +26,13 @@
     def __init__(
         self,
         transport: ports.Transport,
-        leader: cabc.Callable[[], str],
+        leader_address: cabc.Callable[[], str],
         handle_locally: cabc.Callable[
             [messages.Message], cabc.Awaitable[t.Any]
         ],
     ) -> None:
         self.transport = transport
-        self.leader = leader
+        self.leader_address = leader_address
         self.handle_locally = handle_locally
 
     async def put_map(
@@ -62,7 +62,7 @@
         last_error = errors.PeerError('no leader is known', operation)
         while time.monotonic() < deadline:
             reply = await self.handle_locally(request)
-            leader = self.leader()
+            leader = self.leader_address()
             if reply is None and leader:
                 try:
                     reply = await self.transport.request(
--- a/src/bulrushhold/control/_server.py
+++ b/src/bulrushhold/control/_server.py
@@ -213,8 +213,8 @@
         config = self.replica.config
         reply = messages.CoreReply(self.replica.leader_address(), config)
         members = {*config.voters.values(), *config.learners.values()}
-        others = set(map(str, self.contacts)) - members
-        for address in sorted(others - {str(self.config.peer)}):
+        non_members = set(map(str, self.contacts)) - members
+        for address in sorted(non_members - {str(self.config.peer)}):
             if config.voters:
                 self.transport.send(address, reply)
 
@@ -362,12 +362,12 @@
         if read.at >= 0:
             return self._table_at(read.at)
         whole = read.known < table.floor or read.known > table.revision
-        known = 0 if whole else read.known
-        rows, removed = table.changes_since(known)
+        known_revision = 0 if whole else read.known
+        rows, removed = table.changes_since(known_revision)
         return messages.TableReply(
             'done',
             revision=table.revision,
-            whole=whole or known == 0,
+            whole=whole or known_revision == 0,
             rows=rows,
             removed=removed,
             refusals_revision=self.state.refusals_revision,
--- a/src/bulrushhold/control/_watch.py
+++ b/src/bulrushhold/control/_watch.py
@@ -37,8 +37,8 @@
     :param local_node: this process.
     :param view: the cluster view that is served.
     :param has_leader_contact: returns whether the view is current.
-    :param leader: returns the address that entries are redirected to while
-        the view is not current.
+    :param leader_address: returns the address that entries are redirected
+        to while the view is not current.
     """
 
     def __init__(
@@ -47,14 +47,14 @@
         local_node: messages.ControlNode,
         view: _clusterview.ClusterView,
         has_leader_contact: cabc.Callable[[], bool],
-        leader: cabc.Callable[[], str],
+        leader_address: cabc.Callable[[], str],
         clock: cabc.Callable[[], float],
     ) -> None:
         self.transport = transport
         self.local_node = local_node
         self.view = view
         self.has_leader_contact = has_leader_contact
-        self.leader = leader
+        self.leader_address = leader_address
         self.clock = clock
         self.loads = decisions.LoadAggregator(
             local_node.address, local_node.data_centre, random.getrandbits(32)
@@ -93,7 +93,9 @@
             reply = self.view.reply(watch.known)
         else:
             core = self.view.voter_addresses
-            reply = messages.WatchReply('not_leader', self.leader(), core)
+            reply = messages.WatchReply(
+                'not_leader', self.leader_address(), core
+            )
         return attrs.evolve(reply, loads=self._summary(watch))
 
     def _schedule_attach_hooks(self) -> None:
@@ -114,13 +116,15 @@
         )
 
     def _summary(self, watch: messages.Watch) -> messages.LoadSummary | None:
-        known = watch.known_loads
-        if self.loads.number == known:
+        known_number = watch.known_loads
+        if self.loads.number == known_number:
             return None
-        if self.loads.number < known:
+        if self.loads.number < known_number:
             # The number is from a former start of this process.
-            known = 0
-        return self.loads.summary_for(watch.entry.name, known, self.clock())
+            known_number = 0
+        return self.loads.summary_for(
+            watch.entry.name, known_number, self.clock()
+        )
 
     async def _on_load_report(
         self, report: messages.LoadReport
--- a/src/bulrushhold/messages/_fleet.py
+++ b/src/bulrushhold/messages/_fleet.py
@@ -296,13 +296,13 @@
     loads: LoadSummary | None = None
 
 
-def is_newer(version: str, known: str) -> bool:
+def is_newer(version: str, other: str) -> bool:
     """Whether a version of a part of the cluster view is newer than another.
 
     :param version: ``TERM.NUMBER``, or ``''`` for none.
-    :param known: the version to compare with, in the same format.
+    :param other: the version to compare with, in the same format.
     """
-    return _version_key(version) > _version_key(known)
+    return _version_key(version) > _version_key(other)
 
 
 def _version_key(version: str) -> tuple[int, ...]:
--- a/src/bulrushhold/node/_zmqtransport.py
+++ b/src/bulrushhold/node/_zmqtransport.py
@@ -47,7 +47,7 @@
         self.frame_count = frame_count
         self.loop = asyncio.get_running_loop()
         self.descriptor = zmq_socket.getsockopt(zmq.FD)
-        self.scheduled: asyncio.Handle | None = None
+        self.scheduled_read: asyncio.Handle | None = None
         self.loop.add_reader(self.descriptor, self._read)
         self._schedule_read()
 
@@ -73,18 +73,18 @@
         if self.closed:
             return
         self.loop.remove_reader(self.descriptor)
-        if self.scheduled is not None:
-            self.scheduled.cancel()
+        if self.scheduled_read is not None:
+            self.scheduled_read.cancel()
         self.socket.close(linger=0)
 
     def _schedule_read(self) -> None:
-        if self.scheduled is None:
-            self.scheduled = self.loop.call_soon(self._read)
+        if self.scheduled_read is None:
+            self.scheduled_read = self.loop.call_soon(self._read)
 
     def _read(self) -> None:
-        if self.scheduled is not None:
-            self.scheduled.cancel()
-            self.scheduled = None
+        if self.scheduled_read is not None:
+            self.scheduled_read.cancel()
+            self.scheduled_read = None
         for _ in range(MAX_MESSAGES_PER_READ):
             try:
                 frames = self.socket.recv_multipart(zmq.DONTWAIT)
