--- a/src/bulrushhold/control/__init__.py
+++ b/src/bulrushhold/control/__init__.py
@@ -1,4 +1,4 @@
-"""The control process, which keeps a replica of the durable state."""
+"""Control processes: replicas of the replicated log, and relays to them."""
 
 from bulrushhold.control._fleetcontrol import FleetControl
 from bulrushhold.control._fleetcontrol import FleetRelay
--- a/src/bulrushhold/control/_clusterview.py
+++ b/src/bulrushhold/control/_clusterview.py
@@ -15,8 +15,8 @@
 class ClusterView:
     """The newest route map, backend servers, entries and control processes.
 
-    The leader writes it; other control processes hold copies with the
-    leader's versions.
+    The leader updates it; other control processes hold copies with the
+    leader's version numbers.
 
     :param clock: returns seconds, including time spent suspended.
     """
@@ -43,7 +43,7 @@
     async def wait(
         self, ready: cabc.Callable[[], bool], hold_s: float
     ) -> None:
-        """Wait until ``ready()`` is true or the hold time is over."""
+        """Wait until ``ready()`` is true, for at most ``hold_s``."""
         deadline = self.clock() + min(hold_s, MAX_LONG_POLL_S)
         while not ready():
             remaining_s = deadline - self.clock()
--- a/src/bulrushhold/control/_follower.py
+++ b/src/bulrushhold/control/_follower.py
@@ -15,8 +15,8 @@
 # Added to the long poll for a slow link or a busy leader.
 REPLY_MARGIN_S: t.Final = 0.3
 RETRY_INTERVAL_S: t.Final = 0.05
-# Longer than an election, so that entries stay attached during one. Short
-# enough for entries to get committed changes from another process in time.
+# Longer than an election, so that entries stay attached during one. After it
+# entries are redirected, as this copy of the view may be outdated.
 LEADER_CONTACT_TIMEOUT_S: t.Final = 1.4
 
 
--- a/src/bulrushhold/control/_leader.py
+++ b/src/bulrushhold/control/_leader.py
@@ -16,11 +16,11 @@
 from bulrushhold import node
 from bulrushhold import ports
 
-# The platform limits the rate of all readers of its list together.
+# The platform's rate limit is shared by all readers of its list.
 LIST_INTERVAL_S: t.Final = 0.4
 LIST_TIMEOUT_S: t.Final = 1.0
 LEADERSHIP_CHECK_INTERVAL_S: t.Final = 0.1
-# Several long polls: control processes repeat theirs every 0.3 s.
+# Covers several long polls of a control process.
 NODE_TIMEOUT_S: t.Final = 1.0
 
 
--- a/src/bulrushhold/control/_leaderclient.py
+++ b/src/bulrushhold/control/_leaderclient.py
@@ -18,7 +18,8 @@
 class LeaderClient:
     """Sends requests to the current leader and retries until a timeout.
 
-    :param leader_address: returns the leader's address, or ``''``.
+    :param leader_address: returns the leader's address, or ``''`` if it is
+        unknown.
     :param handle_locally: answers a request in this process if it is the
         leader, else returns ``None``.
     """
@@ -42,7 +43,8 @@
 
         The call is idempotent.
 
-        :raises PeerError: if the map is not known to be committed.
+        :raises PeerError: if no leader confirmed the commit in time; the map
+            may still be committed.
         """
         reply = await self._request_leader(
             messages.Proposal(messages.encode(put))
@@ -52,7 +54,7 @@
     async def read_map(self) -> messages.RouteMapReply:
         """Return the newest route map as the operator sent it.
 
-        :raises PeerError: if no leader confirmed in time which one it is.
+        :raises PeerError: if no leader replied in time.
         """
         return await self._request_leader(messages.RouteMapRead())
 
--- a/src/bulrushhold/control/_registry.py
+++ b/src/bulrushhold/control/_registry.py
@@ -1,4 +1,4 @@
-"""Registry of live entries, kept by heartbeats."""
+"""Registry of live entries, based on their heartbeats."""
 
 import typing as t
 
@@ -6,12 +6,12 @@
 
 from bulrushhold import messages
 
-# Three missed long polls. Until then callers may be sent to a dead entry.
+# Three missed long polls. Until then callers may be sent to a crashed entry.
 ENTRY_TIMEOUT_S: t.Final = 1.0
 # Long enough for entries to move to another control process.
 RELAYED_ENTRY_TIMEOUT_S: t.Final = 2.0
-# A new leader learns of all entries within one long poll and one retry. Its
-# list is incomplete before, and would send all callers to a few entries.
+# Covers a long poll and a retry of each control process, after which a new
+# leader has all entries. An incomplete list would send all callers to a few.
 SETTLE_TIME_S: t.Final = 1.5
 
 
--- a/src/bulrushhold/control/_relay.py
+++ b/src/bulrushhold/control/_relay.py
@@ -16,10 +16,10 @@
 from bulrushhold import ports
 
 LEADER_CHECK_INTERVAL_S: t.Final = 0.3
-# Shorter, because entries get no updates while the leader is unknown.
+# Used while the leader is unknown, as entries get no updates then.
 LEADER_SEARCH_INTERVAL_S: t.Final = 0.1
 REQUEST_TIMEOUT_S: t.Final = 0.3
-# Time for all replicas to ask to join, so that the choice is deterministic.
+# Time for all replicas to request to join before one of them is selected.
 BOOTSTRAP_DELAY_S: t.Final = 0.7
 
 
--- a/src/bulrushhold/control/_server.py
+++ b/src/bulrushhold/control/_server.py
@@ -18,12 +18,12 @@
 
 PROPOSAL_TIMEOUT_S: t.Final = 3.0
 JOIN_INTERVAL_S: t.Final = 0.5
-# While there are too few voters, so that a new log soon has all of them.
+# Used while there are too few voters, as a new log accepts no commands then.
 BOOTSTRAP_JOIN_INTERVAL_S: t.Final = 0.1
 # A new log accepts commands after this time even with too few voters.
 BOOTSTRAP_TIMEOUT_S: t.Final = 6.0
 # Longer than an election, so that only a replica that was removed from the
-# configuration asks to join again.
+# configuration requests to join again.
 REJOIN_AFTER_S: t.Final = 2.5
 MIN_WAIT_S: t.Final = 0.001
 CLAIM_EXPIRY_INTERVAL_S: t.Final = 30.0
@@ -247,7 +247,7 @@
 
     async def _on_join(self, request: messages.JoinRequest) -> None:
         if self.replica.role is not decisions.Role.LEADER:
-            # Forward it: the sender may know no other replica than this one.
+            # Forward it: the sender may have no other replica's address.
             leader = self.replica.leader_address()
             if leader and leader != str(self.config.peer):
                 self.transport.send(leader, request)
@@ -427,13 +427,13 @@
 ) -> tuple[decisions.PersistedState, str]:
     """Read the data folder; assign a new identity if it is empty.
 
-    :returns: the durable state and the replica's identity.
+    :returns: the persisted state and the replica's identity.
     :raises StorageError: if the folder is damaged or incomplete.
     """
     identity = store.identity()
     if identity is None:
         # Always a new identity: a replica that lost its disk and kept its
-        # old one could vote twice in a term and undo committed entries.
+        # identity could vote twice in a term and undo committed entries.
         identity = node.Identity(decisions.new_identity(config.name))
         store.write_identity(identity)
     return store.load(identity.founding), identity.replica
--- a/src/bulrushhold/control/_watch.py
+++ b/src/bulrushhold/control/_watch.py
@@ -17,11 +17,12 @@
 
 # Batches load changes, as each update is a message to every attached entry.
 PUBLISH_INTERVAL_S: t.Final = 0.15
-# Minimum time between two sums sent to other control processes.
+# Minimum time between two load sums sent to other control processes.
 EXCHANGE_INTERVAL_S: t.Final = 0.05
-# Sent as a heartbeat when nothing has changed.
+# Sums are repeated as heartbeats when nothing has changed.
 REFRESH_INTERVAL_S: t.Final = 0.1
-# Includes processes without entries, which may get some soon.
+# Replicas without attached entries get sums less often: they need them only
+# once an entry attaches.
 BROADCAST_INTERVAL_S: t.Final = 1.0
 EXPIRY_INTERVAL_S: t.Final = 0.1
 # Batches entries that attach at the same time.
@@ -120,7 +121,7 @@
         if self.loads.number == known_number:
             return None
         if self.loads.number < known_number:
-            # The number is from a former start of this process.
+            # The number was issued before a restart of this process.
             known_number = 0
         return self.loads.summary_for(
             watch.entry.name, known_number, self.clock()
--- a/src/bulrushhold/messages/_entries.py
+++ b/src/bulrushhold/messages/_entries.py
@@ -1,4 +1,4 @@
-"""Messages between entries: pointers, copies, quotas, membership."""
+"""Messages between entries: key pointers, transcripts, quotas, membership."""
 
 import attrs
 
@@ -9,10 +9,10 @@
 
     :param epoch: epoch of the sender; the highest one wins.
     :param copies: addresses that will hold copies of the transcript.
-    :param begins: whether a new text begins with this epoch, which
+    :param begins: whether a new generated text starts with this epoch, which
         invalidates copies of earlier epochs.
-    :param since: the epoch that began the text, if the serving entry
-        refreshes its pointer, else 0.
+    :param since: the epoch in which the generated text started, if the
+        serving entry refreshes its pointer, else 0.
     """
 
     key: str
@@ -29,9 +29,9 @@
 
     :param epoch: the current epoch at this home.
     :param former: addresses that hold the previous entry's transcript.
-    :param since: the epoch that began the newest text, or 0.
-    :param sure: whether the home holds the key, or has been up for long
-        enough to hold every key in use.
+    :param since: the epoch in which the newest generated text started, or 0.
+    :param sure: whether the reply is authoritative: the home holds the key,
+        or has been up for long enough to hold every key in use.
     :param mismatch: whether the key is in use with another fingerprint.
     """
 
@@ -147,7 +147,7 @@
     """A gossip update about one entry.
 
     :param incarnation: incarnation number; only the entry itself raises it.
-    :param status: a value of the membership's ``Status``.
+    :param status: a value of the SWIM membership's ``Status``.
     """
 
     name: str
--- a/src/bulrushhold/messages/_fleet.py
+++ b/src/bulrushhold/messages/_fleet.py
@@ -217,7 +217,7 @@
 
 @attrs.frozen
 class ControlNode:
-    """A control process.
+    """A control process, as listed for entries and other processes.
 
     :param address: address for messages between processes.
     :param replica: whether it stores the log; entries prefer a relay.
@@ -249,7 +249,8 @@
 
     :param entry: the requesting entry; the poll is also its heartbeat.
     :param hold_s: maximum time until the reply.
-    :param known_loads: number of its newest summary from this process.
+    :param known_loads: sequence number of the newest :class:`LoadSummary` that
+        it has from the receiver.
     """
 
     entry: ListedEntry
@@ -273,9 +274,11 @@
 
 @attrs.frozen
 class WatchReply:
-    """Reply to a long poll; unchanged parts are ``None``.
+    """Reply to :class:`Watch` and :class:`NodeWatch`.
 
-    :param core: addresses of the replicas.
+    Data that the request already has are ``None``.
+
+    :param core: addresses of the voting replicas.
     :param route_map: the map as encoded by :func:`pack_map`.
     :param map_version: version of the sender's route map.
     :param backends_age_s: time since the platform's list was read.
--- a/src/bulrushhold/messages/_state.py
+++ b/src/bulrushhold/messages/_state.py
@@ -124,7 +124,10 @@
 
 @attrs.frozen
 class Quarantine:
-    """Quarantines a request content, or with ``lift`` releases it."""
+    """Quarantines a request content, or with ``lift`` releases it.
+
+    :param fingerprint: hash of the request content.
+    """
 
     fingerprint: str
     reason: str
@@ -155,7 +158,7 @@
 
 @attrs.frozen
 class Suspected:
-    """Request contents that an engine was running when it died."""
+    """Reports request contents that an engine was running when it crashed."""
 
     fingerprints: list[str]
 
@@ -164,7 +167,7 @@
 class Refusals:
     """Quarantined request contents, and candidates for quarantine.
 
-    :param suspects: contents that were running when one engine died.
+    :param suspects: contents that one engine was running when it crashed.
     """
 
     quarantined: list[str]
@@ -189,7 +192,10 @@
 
 @attrs.frozen
 class TableReply:
-    """The table, whole or as changes, read under the leader's lease."""
+    """Reply to :class:`TableRead`, read under the leader's lease.
+
+    :param whole: whether ``rows`` are the whole table, not only changes.
+    """
 
     status: str
     leader: str = ''
--- a/src/bulrushhold/node/__init__.py
+++ b/src/bulrushhold/node/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters that need no HTTP: ZeroMQ, disk, logs, metrics."""
+"""Adapters for ZeroMQ, the disk, logs, metrics and the system clock."""
 
 from bulrushhold.node._clock import boot_time
 from bulrushhold.node._filelog import FileLog
--- a/src/bulrushhold/node/_clock.py
+++ b/src/bulrushhold/node/_clock.py
@@ -1,4 +1,4 @@
-"""The clock that leases are measured with."""
+"""The clock for leases and timeouts of control processes."""
 
 import time
 
--- a/src/bulrushhold/node/_filelog.py
+++ b/src/bulrushhold/node/_filelog.py
@@ -123,17 +123,19 @@
             os.fdatasync(self.file.fileno())
         except OSError as error:
             # After a failed sync the kernel may have dropped the pages, and
-            # a second sync would succeed without them. Never retry; the
-            # files have to be read again.
+            # a second sync would succeed without them. So it is not retried:
+            # the process has to restart and read the files again.
             raise self._error(str(error), self.log_path) from error
 
     def save_snapshot(
         self, snapshot: messages.InstallSnapshot, tail: list[messages.LogEntry]
     ) -> None:
-        """Store a snapshot, then replace the log by its tail.
+        """Store a snapshot, then replace the log by ``tail``.
 
         A crash between the two leaves the new snapshot with the old log;
         ``load`` skips entries that the snapshot covers.
+
+        :param tail: the log entries after the snapshot.
         """
         self._replace(
             self.snapshot_path,
--- a/src/bulrushhold/node/_statsd.py
+++ b/src/bulrushhold/node/_statsd.py
@@ -44,5 +44,5 @@
 
 
 def make(target: settings.Metrics | None, prefix: str) -> ports.Metrics:
-    """Return a statsd client, or a null object if no target is set."""
+    """Return metrics for statsd, or null metrics without a target."""
     return NullMetrics() if target is None else StatsdMetrics(target, prefix)
--- a/src/bulrushhold/node/_zmqtransport.py
+++ b/src/bulrushhold/node/_zmqtransport.py
@@ -20,7 +20,7 @@
 HEARTBEAT_INTERVAL_MS: t.Final = 300
 CONNECTION_TIMEOUT_MS: t.Final = 900
 _NO_REPLY: t.Final = b''
-# Yields to the event loop's other callbacks after this many.
+# After this many messages the event loop runs other callbacks.
 MAX_MESSAGES_PER_READ: t.Final = 50
 UNBIND_TIMEOUT_S: t.Final = 1.0
 UNBIND_CHECK_INTERVAL_S: t.Final = 0.005
@@ -99,7 +99,7 @@
     """Receives on one ROUTER socket and sends on one DEALER per peer.
 
     Messages beyond a queue's limit are dropped, so that an unreachable peer
-    doesn't exhaust memory. Senders have to expect losses anyway.
+    doesn't exhaust memory. Messages may also be lost on a connection failure.
     """
 
     def __init__(
