--- a/bench/scaling.py
+++ b/bench/scaling.py
@@ -137,14 +137,14 @@
             lambda b=loads, s=report: (b.take(s, 0.0), b.summary_for('e1', 0))
         )
     print_costs('load report at the leader, by entries', report_costs, 'us')
-    learned = decisions.EngineSpeeds()
-    learned.record_run('s', 7.0, 0.0)
+    speeds = decisions.EngineSpeeds()
+    speeds.record_run('s', 7.0, 0.0)
     pauses = decisions.PauseSamples(0.2)
     costs = {
         0: cost_us(lambda: pauses.add(0.03)),
-        1: cost_us(lambda: learned.record_pauses('s', pauses, 1.0)),
-        2: cost_us(lambda: learned.token_s('s', OBJECTIVE, 1.0)),
-        3: cost_us(lambda: learned.pause_s('s', OBJECTIVE, 1.0, 4.0)),
+        1: cost_us(lambda: speeds.record_pauses('s', pauses, 1.0)),
+        2: cost_us(lambda: speeds.token_s('s', OBJECTIVE, 1.0)),
+        3: cost_us(lambda: speeds.pause_s('s', OBJECTIVE, 1.0, 4.0)),
     }
     print_costs(
         '0 add a pause, 1 record pauses, 2 read speed, 3 pause estimate',
--- a/tests/platform/soak/run.py
+++ b/tests/platform/soak/run.py
@@ -69,9 +69,9 @@
             await engine.start()
         platform_list = fakes.PlatformListServer(self.engines)
         await platform_list.start()
-        base = 21000 + self.network_number * 40
+        first_port = 21000 + self.network_number * 40
         self.system = system.System(
-            self.folder, platform_list.address, self.network_number, base
+            self.folder, platform_list.address, self.network_number, first_port
         )
         timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
         try:
--- a/tests/platform/soak/system.py
+++ b/tests/platform/soak/system.py
@@ -14,7 +14,7 @@
 
 ROOT = pathlib.Path(__file__).parents[3]
 CONTROL_COUNT = 3
-BASE_PORT = 21000
+FIRST_PORT = 21000
 NETWORK_NUMBERS = range(40, 250)
 LOCK_HOST = 254
 ENTRY_COUNT = 4
@@ -76,7 +76,7 @@
         for number in NETWORK_NUMBERS:
             lock_socket = socket.socket()
             try:
-                lock_socket.bind((f'127.0.{number}.{LOCK_HOST}', BASE_PORT))
+                lock_socket.bind((f'127.0.{number}.{LOCK_HOST}', FIRST_PORT))
             except OSError:
                 lock_socket.close()
                 continue
@@ -97,22 +97,28 @@
 class System:
     """The control servers and entries of one run.
 
-    :param cloud: address of the platform list.
+    :param platform_list_address: address of the platform list.
     :param network_number: number of the run's :class:`LoopbackNetwork`.
-    :param base: first port.
+    :param first_port: the lowest of the ports that each process uses.
     """
 
-    def __init__(self, folder, cloud, network_number, base=BASE_PORT):
+    def __init__(
+        self,
+        folder,
+        platform_list_address,
+        network_number,
+        first_port=FIRST_PORT,
+    ):
         self.folder = pathlib.Path(folder)
-        self.cloud = cloud
+        self.platform_list_address = platform_list_address
         self.network_number = network_number
         self.ports = {
-            'front': base,
-            'ready': base + 1,
-            'control': base + 2,
-            'directory': base + 3,
-            'internal': base + 10,
-            'internal_end': base + 25,
+            'front': first_port,
+            'ready': first_port + 1,
+            'control': first_port + 2,
+            'directory': first_port + 3,
+            'internal': first_port + 10,
+            'internal_end': first_port + 25,
         }
         self.programs = []
         for number in range(1, ENTRY_COUNT + 1):
@@ -145,7 +151,7 @@
             seeds=seeds,
             bootstrap=str(bootstrap).lower(),
             data=self.folder / 'data' / program.name,
-            cloud=self.cloud,
+            cloud=self.platform_list_address,
             **self.ports,
         )
         program.settings.write_text(text)
--- a/tests/test_fleet_control.py
+++ b/tests/test_fleet_control.py
@@ -40,24 +40,24 @@
         for name, peer in peers.items():
             server = self.cluster.start(name, peer, peers)
             fleet = control.FleetControl(server, 'x', StaticBackendList())
-            self.run(name, fleet.run())
+            self.start_task(name, fleet.run())
         contacts = list(map(str, peers.values()))
         for name in 'ab':
             self.start_relay(name, contacts)
         await self.cluster.until(lambda: self.cluster.leader() is not None)
-        self.put(1)
+        self.put_route_map(1)
         for name in 'ab':
             self.start_entry(name, contacts)
         await self.cluster.until(self.settled)
 
-    def put(self, version):
+    def put_route_map(self, version):
         route_map = routes.RouteMap(version, [], [routes.Service('engines')])
         packed = messages.pack_map(route_map)
         command = messages.RouteMapPut(version, packed, b'source')
         self.cluster.leader().replica.propose(messages.encode(command))
         self.cluster.leader().wakeup.set()
 
-    def run(self, name, coroutine):
+    def start_task(self, name, coroutine):
         self.tasks.setdefault(name, []).append(
             asyncio.ensure_future(coroutine)
         )
@@ -67,8 +67,8 @@
         transport = node.ZmqTransport(address)
         relay = control.Relay(transport, address, contacts, bootstraps=False)
         fleet = control.FleetRelay(relay, name)
-        self.run(f'relay-{name}', relay.run())
-        self.run(f'relay-{name}', fleet.run())
+        self.start_task(f'relay-{name}', relay.run())
+        self.start_task(f'relay-{name}', fleet.run())
         self.transports[f'relay-{name}'] = transport
         self.relays[name] = address
 
@@ -85,8 +85,8 @@
             decisions.PoisonRequestDetector(placement.count_losses_near),
             decisions.AdmissionController(),
         )
-        self.run(name, entry.follow())
-        self.run(name, entry.report_load())
+        self.start_task(name, entry.follow())
+        self.start_task(name, entry.report_load())
         self.transports[name] = transport
         self.entries[name] = entry
 
@@ -160,13 +160,13 @@
     await fleet.wait_for_running(1)
     assert time.monotonic() - started_at < 1.5
     assert fleet.entries['b'].placement.backends['i3'].ejected_until
-    fleet.put(2)
+    fleet.put_route_map(2)
     await fleet.cluster.until(lambda: entry.map_version == 2, 1.0)
     assert entry.entry_count() == 2
 
 
 async def test_a_new_route_map_reaches_all_data_centres(fleet):
-    fleet.put(5)
+    fleet.put_route_map(5)
     for entry in fleet.entries.values():
         await fleet.cluster.until(lambda e=entry: e.map_version == 5, 1.0)
 
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -30,12 +30,12 @@
     expected_voters = sorted({'a', 'b', 'c', 'd'} - {stopped})
     await core.until(lambda: core.voters() == expected_voters)
     assert replacement.state.map_version == 7
-    second = next(
+    second_stopped = next(
         n
         for n in core.running
         if n != 'd' and core.running[n][0] is not core.leader()
     )
-    await core.stop(second)
+    await core.stop(second_stopped)
     command = messages.encode(messages.RouteMapPut(9, b'packed', b'source'))
     reply = await core.leader().propose(command)
     assert reply.status == 'done'
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -54,13 +54,13 @@
     assert reload(store).entries == entries(1, 2) + entries(3, 3, term=2)
 
 
-@pytest.mark.parametrize('lost', [1, 5, 20])
-def test_an_incomplete_last_record_is_truncated(store, lost):
+@pytest.mark.parametrize('missing_bytes', [1, 5, 20])
+def test_an_incomplete_last_record_is_truncated(store, missing_bytes):
     # The process died during a write that was not acknowledged.
     store.save(1, '', entries(1, 1))
     store.save(1, '', entries(2, 2))
     size = store.log_path.stat().st_size
-    os.truncate(store.log_path, size - lost)
+    os.truncate(store.log_path, size - missing_bytes)
     assert reload(store).entries == entries(1, 1)
     reopened = node.FileLog(store.folder)
     reopened.load(FOUNDING)
--- a/tests/test_zmqtransport.py
+++ b/tests/test_zmqtransport.py
@@ -23,15 +23,15 @@
 
 async def test_every_message_of_a_burst_arrives_in_order(connected_pair):
     """No message may stay unread until the next one arrives."""
-    (one, other), (_, address) = connected_pair
+    (sender, receiver), (_, address) = connected_pair
     received = []
 
     async def on_message(read):
         received.append(read.limit)
 
-    other.handle(messages.HistoryRead, on_message)
+    receiver.handle(messages.HistoryRead, on_message)
     for number in range(2000):
-        one.send(address, messages.HistoryRead(number))
+        sender.send(address, messages.HistoryRead(number))
         if number % 100 == 0:
             await asyncio.sleep(0)
     async with asyncio.timeout(5):
@@ -41,13 +41,13 @@
 
 
 async def test_requests_in_both_directions_are_all_answered(connected_pair):
-    (one, other), (first, second) = connected_pair
+    (first, second), (first_address, second_address) = connected_pair
 
     async def answer(read):
         await asyncio.sleep(0)
         return messages.Failure(str(read.limit))
 
-    for transport in (one, other):
+    for transport in (first, second):
         transport.handle(messages.HistoryRead, answer)
 
     async def request_error(transport, address, number):
@@ -56,14 +56,20 @@
         assert raised.value.reason == str(number)
 
     await asyncio.gather(
-        *(request_error(one, second, number) for number in range(200)),
-        *(request_error(other, first, number) for number in range(200)),
+        *(
+            request_error(first, second_address, number)
+            for number in range(200)
+        ),
+        *(
+            request_error(second, first_address, number)
+            for number in range(200)
+        ),
     )
 
 
 async def test_messages_with_a_wrong_frame_count_are_ignored(connected_pair):
     """A malformed message must not stop the socket's reader."""
-    (one, other), (_, address) = connected_pair
+    (sender, receiver), (_, address) = connected_pair
     foreign_socket = zmq.Context.instance().socket(zmq.DEALER)
     foreign_socket.connect(f'tcp://{address}')
     foreign_socket.send_multipart([b'a', b'b', b'c', b'd'])
@@ -74,8 +80,8 @@
     async def on_message(read):
         arrived.set()
 
-    other.handle(messages.HistoryRead, on_message)
-    one.send(address, messages.HistoryRead(1))
+    receiver.handle(messages.HistoryRead, on_message)
+    sender.send(address, messages.HistoryRead(1))
     async with asyncio.timeout(2):
         await arrived.wait()
     foreign_socket.close(linger=0)
@@ -102,9 +108,9 @@
 
 async def test_an_address_is_free_once_its_transport_is_closed(connected_pair):
     """A process must be able to restart at once at its own address."""
-    (one, _), _ = connected_pair
+    (sender, _), _ = connected_pair
     address = f'127.0.0.1:{testing.free_ports(1)[0]}'
     for _ in range(100):
         transport = node.ZmqTransport(address)
-        one.send(address, messages.StatusRead())
+        sender.send(address, messages.StatusRead())
         await transport.close()
