--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,4 @@
-"""Benchmark of the control servers.
+"""Benchmark of the control processes.
 
 Measures throughput of edits and claims, startup time, propagation time of
 edits and idle cost, with real processes and disk syncs:
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class Cost:
-    """CPU time of the relaying processes in one run."""
+    """CPU time of the byte relay or the entries in one run."""
 
     tokens: int
     cpu_s: float
--- a/bench/scaling.py
+++ b/bench/scaling.py
@@ -1,9 +1,9 @@
-"""Benchmark of how CPU and memory costs scale with the number of items.
+"""Benchmark of how CPU and memory costs grow with the cluster and its data.
 
     python -m bench.scaling
 
 CPU time is that of the decision code and the codec in this process. Table
-polling is measured on a real control server with simulated entries.
+polling is measured on a real control process with simulated entries.
 """
 
 import asyncio
--- a/src/bulrushhold/testing/_booking.py
+++ b/src/bulrushhold/testing/_booking.py
@@ -9,9 +9,9 @@
 
 
 class BookingService(_http.FakeHttpServer):
-    """Books slots without deduplication, so that repeated requests show.
+    """Books slots without deduplication, so that duplicate requests show up.
 
-    :param delay_s: seconds from the booking to its response.
+    :param delay_s: time between a booking and its response.
     :ivar drop_response: abort the connection instead of responding.
     :ivar wrong_request_id: respond with the ID of another request.
     """
--- a/src/bulrushhold/testing/_deployment.py
+++ b/src/bulrushhold/testing/_deployment.py
@@ -27,13 +27,13 @@
 
 
 class Deployment:
-    """Control servers, entries, engines, a booking service, a platform list.
+    """Control processes, entries, engines, a booking service, a platform list.
 
     :param folder: for settings, data and logs.
     :param gap_s: seconds between an engine's tokens.
     :param slots: slots per engine in the platform list.
     :param entry_settings: merged into the settings of each entry.
-    :param control_settings: merged into the settings of each control server.
+    :param control_settings: merged into those of each control process.
     """
 
     def __init__(
@@ -152,7 +152,7 @@
         )
 
     def start_control(self, name: str) -> None:
-        """Start a control server process."""
+        """Start a control process."""
         path = self.folder / f'{name}.json'
         self._spawn(name, '-m', 'bulrushhold', 'control', '--settings', path)
 
@@ -192,7 +192,7 @@
             return json.load(response)
 
     def status(self, name: str = 'e1') -> dict[str, t.Any]:
-        """Return the status document of an entry."""
+        """Return the status of an entry, as served under ``/v1/status``."""
         url = f'http://127.0.0.1:{self.http[name]}/v1/status'
         with urllib.request.urlopen(url, timeout=10) as response:
             return json.load(response)
--- a/src/bulrushhold/testing/_engine.py
+++ b/src/bulrushhold/testing/_engine.py
@@ -17,11 +17,11 @@
 
     Token ``i`` of a generation is ``<generation>:<i> ``. A new request gets
     a new generation; a request with a prefix continues the generation of the
-    prefix. Tokens of different generations in one response are therefore
-    visible in its text.
+    prefix. The text of a response therefore shows whether it mixes
+    generations.
 
     :param gap_s: seconds between tokens.
-    :param slots: concurrent streams; further ones are queued.
+    :param slots: maximum concurrent streams; further ones are queued.
     :ivar wrong_request_id: stamp events with the ID of another request.
     :ivar omit_finish_event: end streams without the finish event.
     :ivar error_status: HTTP status to reject requests with; 0 for none.
--- a/src/bulrushhold/testing/_ports.py
+++ b/src/bulrushhold/testing/_ports.py
@@ -7,7 +7,7 @@
 def free_ports(count: int) -> list[int]:
     """Return distinct free loopback ports.
 
-    The ports are not reserved; another process may take one before its use.
+    The ports are not reserved; another process may bind one first.
     """
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
--- a/tests/platform/soak/fakes.py
+++ b/tests/platform/soak/fakes.py
@@ -20,7 +20,7 @@
     """Requests that the engines received, for the checks.
 
     :param runs: number of executions, by request ID.
-    :param forged: requests with headers that only the entries may set.
+    :param forged: target and header of each request with a forged header.
     :param copies: existing KV cache copies, as address and request ID.
     :param unsafe_executed: IDs of executed requests that must not be repeated.
     """
@@ -153,7 +153,7 @@
 
 
 class PlatformListServer:
-    """Serves the platform list, delayed and with an invalid item."""
+    """Serves the platform list, with a delay and an invalid item."""
 
     def __init__(self, engines):
         self.engines = engines
--- a/tests/platform/soak/run.py
+++ b/tests/platform/soak/run.py
@@ -104,7 +104,7 @@
         await asyncio.gather(operator, faults)
 
     async def _check_recovery(self):
-        """Check that all requests are served again once the faults end."""
+        """Check that all requests are served after the faults have ended."""
         for engine in self.engines:
             engine.proxy.fault = ''
             engine.error_rate = 0.0
@@ -115,14 +115,16 @@
         try:
             await self.system.wait_until_ready(self.session)
         except TimeoutError as error:
-            self.report.violations.append(f'recover: {error}')
+            self.report.violations.append(f'not recovered: {error}')
             return
         await asyncio.sleep(2.0)
         before = self.report.served
         await asyncio.gather(*(self._send_request() for _ in range(20)))
         if self.report.served - before < 20:
             served = self.report.served - before
-            self.report.violations.append(f'recover: {served} of 20 served')
+            self.report.violations.append(
+                f'not recovered: {served} of 20 served'
+            )
         await self._check_route_maps(final=True)
         for program in self.system.programs:
             if program.unexpected_exits:
@@ -178,7 +180,9 @@
             return
         self.report.served += 1
         if response.headers.get('Bulrushhold-Request-Id') != ident:
-            self.report.violations.append(f'mixed: {target}: wrong request ID')
+            self.report.violations.append(
+                f'wrong response: {target}: request ID'
+            )
         if kind == fakes.STREAM_PATH:
             expected = b''.join(
                 fakes.encode_event(target, n)
@@ -188,7 +192,8 @@
             expected = fakes.make_body(target, body)
         if data != expected:
             self.report.violations.append(
-                f'mixed: {target}: {len(data)} bytes of {len(expected)}'
+                f'wrong response: {target}: '
+                f'{len(data)} bytes of {len(expected)}'
             )
 
     def _check_executions(self):
@@ -263,7 +268,7 @@
         deadline = time.monotonic() + 20
         while not await self._put_route_map(self.version):
             if time.monotonic() > deadline:
-                raise TimeoutError('no control server accepted the route map')
+                raise TimeoutError('no control process accepted the route map')
             await asyncio.sleep(0.1)
 
     async def _edit_route_map(self, deadline):
@@ -293,7 +298,7 @@
                         )
         if final and not maps_read:
             self.report.violations.append(
-                'no control server returned the route map'
+                'no control process returned the route map'
             )
 
     # Faults
--- a/tests/platform/soak/system.py
+++ b/tests/platform/soak/system.py
@@ -1,4 +1,4 @@
-"""Control servers and entries as processes with loopback addresses."""
+"""Control processes and entries with loopback addresses."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 CONTROL_COUNT = 3
 FIRST_PORT = 21000
 NETWORK_NUMBERS = range(40, 250)
-LOCK_HOST = 254
+LOCK_HOST = 254  # last octet of the address that is bound as a lock
 ENTRY_COUNT = 4
 SETTINGS = """
 node-name = "{name}"
@@ -48,7 +48,7 @@
     """One process and its state.
 
     :param paused: stopped by ``SIGSTOP``.
-    :param exit_expected: received a signal that ends it.
+    :param exit_expected: received ``SIGKILL`` or ``SIGTERM``.
     :param unexpected_exits: how often it ended without such a signal.
     """
 
@@ -66,8 +66,8 @@
 class LoopbackNetwork:
     """Exclusive use of a range of loopback addresses.
 
-    Prevents concurrent runs from sharing addresses, where requests and
-    faults of one run would reach processes of the other.
+    Concurrent runs must not share addresses: requests and faults of one run
+    would reach processes of the other.
 
     :ivar number: third octet of the addresses.
     """
@@ -95,7 +95,7 @@
 
 
 class System:
-    """The control servers and entries of one run.
+    """The control processes and entries of one run.
 
     :param platform_list_address: address of the platform list.
     :param network_number: number of the run's :class:`LoopbackNetwork`.
--- a/tests/test_fleet_control.py
+++ b/tests/test_fleet_control.py
@@ -1,4 +1,4 @@
-"""Entries, relays and replicas in several data centres."""
+"""Load reports and route maps between data centres, and failover."""
 
 import asyncio
 import random
@@ -151,7 +151,7 @@
 
 
 async def test_entries_fail_over_from_a_stopped_relay(fleet):
-    """A data centre must not lose load reports or maps with its relay."""
+    """Load reports and route maps must not depend on a single relay."""
     await fleet.stop('relay-a')
     entry = fleet.entries['a']
     entry.placement.record_failure('i3', time.monotonic(), unreachable=True)
@@ -172,7 +172,7 @@
 
 
 async def test_a_stopped_entry_is_no_longer_counted(fleet):
-    """The load of an entry that has left must not be counted further."""
+    """Its load would otherwise keep requests away from the engine."""
     placement = fleet.entries['a'].placement
     placement.stream_started(placement.backends['i1'], 8000)
     await fleet.wait_for_running(1)
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -20,9 +20,8 @@
 
 
 async def test_an_empty_replica_at_a_new_address_becomes_a_voter(core):
-    # The new replica only has a stale list of contacts. If it could not
-    # reply to the leader, it would never catch up, and the next lost disk
-    # would leave a single copy of the log.
+    # The new replica only has a stale list of contacts. It must still be able
+    # to reply to the leader; otherwise it would never catch up.
     peers = await start_cluster(core)
     stopped = next(n for n in 'abc' if core.running[n][0] is not core.leader())
     await core.stop(stopped)
@@ -89,8 +88,8 @@
 async def test_a_relay_selects_one_replica_to_bootstrap_the_log(
     core, monkeypatch
 ):
-    # All contacts are relays. The replicas must agree on a single log, and
-    # find each other through the relay.
+    # All contacts are relays. More than one bootstrapped replica would create
+    # separate logs.
     monkeypatch.setattr('bulrushhold.control._relay.BOOTSTRAP_DELAY_S', 0.1)
     monkeypatch.setattr(
         'bulrushhold.control._relay.LEADER_CHECK_INTERVAL_S', 0.05
@@ -126,8 +125,8 @@
 
 
 async def test_a_relay_without_other_contacts_learns_the_leader(core):
-    # After a full restart all configured addresses may be relays, which
-    # store nothing: the replicas have to contact them.
+    # After a full restart a relay that only has addresses of relays can't
+    # find a replica, so the replicas have to contact it.
     address = core.address()
     peers = {name: core.address() for name in 'abc'}
     for name, peer in peers.items():
--- a/tests/test_observing.py
+++ b/tests/test_observing.py
@@ -1,4 +1,4 @@
-"""Logging must not block requests; metrics have the Prometheus format."""
+"""Logs and metrics: non-blocking writes and the Prometheus text format."""
 
 import json
 import os
@@ -9,8 +9,8 @@
 
 
 def test_a_full_log_pipe_does_not_block_the_caller():
-    # Nobody reads the pipe: lines must be queued up to a limit and then
-    # dropped and counted.
+    # Nothing reads the pipe. Lines must be queued up to a limit, then dropped
+    # and counted.
     reader, writer = os.pipe()
     line_writer = _logs.LineWriter(writer, clock=_stepping_clock(0.01))
     started_at = time.monotonic()
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -56,7 +56,7 @@
 
 @pytest.mark.parametrize('missing_bytes', [1, 5, 20])
 def test_an_incomplete_last_record_is_truncated(store, missing_bytes):
-    # The process died during a write that was not acknowledged.
+    # The process crashed during a write that was not acknowledged.
     store.save(1, '', entries(1, 1))
     store.save(1, '', entries(2, 2))
     size = store.log_path.stat().st_size
@@ -194,8 +194,8 @@
 async def test_control_stops_if_a_message_arrives_with_the_cancellation(
     system,
 ):
-    # asyncio.wait_for of Python 3.11 may swallow a cancellation that arrives
-    # together with the result; the process would never stop.
+    # asyncio.wait_for of Python 3.11 may swallow such a cancellation, and the
+    # process would never stop.
     system.control.wakeup.set()
     system.control_task.cancel()
     await asyncio.wait([system.control_task], timeout=2.0)
@@ -203,8 +203,8 @@
 
 
 def test_a_partial_write_on_a_full_disk_is_discarded(tmp_path, monkeypatch):
-    # Half a record fits on the disk. Closing the file must not retry the
-    # rest and raise a second error, and the half record must be truncated.
+    # Closing the file must not retry the write and raise a second error, and
+    # the partial record must be truncated.
     store = node.FileLog(tmp_path)
     store.write_identity(node.Identity('a.founder'))
     store.load(messages.Config())
--- a/tests/test_zmqtransport.py
+++ b/tests/test_zmqtransport.py
@@ -1,4 +1,4 @@
-"""Messages between processes over real sockets."""
+"""ZeroMQ transport over real sockets."""
 
 import asyncio
 
