--- a/src/bulrushhold/control/_fleetcontrol.py
+++ b/src/bulrushhold/control/_fleetcontrol.py
@@ -32,10 +32,10 @@
             str(server.config.peer), data_centre, True, link_mbps
         )
         self.view = _clusterview.ClusterView(server.clock)
-        self.leader = _leader.LeaderPublisher(
+        self.leader = _leader.ViewPublisher(
             server, local_node, self.view, source, lambda: self.watch.entries()
         )
-        self.follower = _follower.LeaderFollower(
+        self.follower = _follower.ViewFollower(
             server.transport,
             local_node,
             self.view,
@@ -82,7 +82,7 @@
             relay.peer, data_centre, False, link_mbps
         )
         self.view = _clusterview.ClusterView(relay.clock)
-        self.follower = _follower.LeaderFollower(
+        self.follower = _follower.ViewFollower(
             relay.transport,
             local_node,
             self.view,
--- a/src/bulrushhold/control/_follower.py
+++ b/src/bulrushhold/control/_follower.py
@@ -20,7 +20,7 @@
 LEADER_CONTACT_TIMEOUT_S: t.Final = 1.4
 
 
-class LeaderFollower:
+class ViewFollower:
     """Long-polls the leader and reports the locally attached entries to it.
 
     :param local_node: this process.
--- a/src/bulrushhold/control/_leader.py
+++ b/src/bulrushhold/control/_leader.py
@@ -24,7 +24,7 @@
 NODE_TIMEOUT_S: t.Final = 1.0
 
 
-class LeaderPublisher:
+class ViewPublisher:
     """Maintains the cluster view and answers other processes' long polls.
 
     :param local_node: this process.
