--- a/src/bulrushhold/control/_leader.py
+++ b/src/bulrushhold/control/_leader.py
@@ -16,15 +16,15 @@
 from bulrushhold import node
 from bulrushhold import ports
 
-# The platform limits the rate of all readers of its list together.
+# The platform's rate limit is shared by all readers of its list.
 LIST_INTERVAL_S: t.Final = 0.4
 LIST_TIMEOUT_S: t.Final = 1.0
 LEADERSHIP_CHECK_INTERVAL_S: t.Final = 0.1
-# Several long polls: control processes repeat theirs every 0.3 s.
+# Covers several long polls of a control process.
 NODE_TIMEOUT_S: t.Final = 1.0
 
 
-class LeaderPublisher:
+class ViewPublisher:
     """Maintains the cluster view and answers other processes' long polls.
 
     :param local_node: this process.
@@ -86,24 +86,26 @@
         expired = self.registry.expire(now)
         if expired:
             node.log_decision('entries expired', entries=expired)
-        self._update_members(now)
+        self._update_entries_and_nodes(now)
 
-    def _update_members(self, now: float) -> None:
+    def _update_entries_and_nodes(self, now: float) -> None:
         view = self.view
-        view.core = sorted(self.server.replica.config.voters.values())
+        view.voter_addresses = sorted(
+            self.server.replica.config.voters.values()
+        )
         version = self.registry.version(now)
         if version not in ('', view.entries_version):
             view.entries = self.registry.entries()
             view.entries_version = version
             view.notify()
         self.nodes = {
-            address: (member, seen_at)
-            for address, (member, seen_at) in self.nodes.items()
+            address: (control_node, seen_at)
+            for address, (control_node, seen_at) in self.nodes.items()
             if now - seen_at <= NODE_TIMEOUT_S
         }
         live = [
             self.local_node,
-            *(member for member, _ in self.nodes.values()),
+            *(control_node for control_node, _ in self.nodes.values()),
         ]
         view.update_nodes(sorted(live, key=str))
 
@@ -124,7 +126,7 @@
             )
             return
         view = self.view
-        view.backends_at = self._now()
+        view.backends_read_at = self._now()
         term = f'{self.server.replica.term}.'
         if backends == view.backends and view.backends_version.startswith(
             term
@@ -151,7 +153,7 @@
         self.registry.begin_term(self.server.replica.term, now)
         self.nodes[watch.node.address] = (watch.node, now)
         self.registry.refresh_source(watch.node.address, watch.entries, now)
-        self._update_members(now)
+        self._update_entries_and_nodes(now)
 
     # Long polls of other control processes
 
--- a/src/bulrushhold/control/_relay.py
+++ b/src/bulrushhold/control/_relay.py
@@ -16,10 +16,10 @@
 from bulrushhold import ports
 
 LEADER_CHECK_INTERVAL_S: t.Final = 0.3
-# Shorter, because entries get no updates while the leader is unknown.
+# Used while the leader is unknown, as entries get no updates then.
 LEADER_SEARCH_INTERVAL_S: t.Final = 0.1
 REQUEST_TIMEOUT_S: t.Final = 0.3
-# Time for all replicas to ask to join, so that the choice is deterministic.
+# Time for all replicas to request to join before one of them is selected.
 BOOTSTRAP_DELAY_S: t.Final = 0.7
 
 
@@ -47,12 +47,12 @@
         self.bootstraps = bootstraps
         self.clock = clock
         self.leader = ''
-        self.core: list[str] = []
+        self.voter_addresses: list[str] = []
         self.join_candidates: dict[str, str] = {}
         self.bootstrap_address = ''
         self.first_join_at: float | None = None
         self.leader_client = _leaderclient.LeaderClient(
-            transport, lambda: self.leader, self._never_local
+            transport, lambda: self.leader, self._handle_locally
         )
         transport.handle(messages.JoinRequest, self._on_join)
         transport.handle(messages.CoreRead, self._on_core_read)
@@ -71,7 +71,11 @@
             await asyncio.sleep(interval_s)
 
     async def _find_leader(self) -> None:
-        addresses = [self.leader, *self.core, *self.join_candidates.values()]
+        addresses = [
+            self.leader,
+            *self.voter_addresses,
+            *self.join_candidates.values(),
+        ]
         for address in dict.fromkeys([*addresses, *self.contacts]):
             if not address or address == self.peer:
                 continue
@@ -86,7 +90,7 @@
 
     def _update_members(self, reply: messages.CoreReply) -> None:
         if reply.config.voters:
-            self.core = sorted(reply.config.voters.values())
+            self.voter_addresses = sorted(reply.config.voters.values())
         if reply.leader:
             self._set_leader(reply.leader)
 
@@ -124,11 +128,11 @@
         self, read: messages.CoreRead
     ) -> messages.CoreReply:
         del read
-        voters = {address: address for address in self.core}
+        voters = {address: address for address in self.voter_addresses}
         return messages.CoreReply(self.leader, messages.Config(voters=voters))
 
     async def _on_core_reply(self, reply: messages.CoreReply) -> None:
         self._update_members(reply)
 
-    async def _never_local(self, request: messages.Message) -> None:
+    async def _handle_locally(self, request: messages.Message) -> None:
         del request
--- a/src/bulrushhold/control/_watch.py
+++ b/src/bulrushhold/control/_watch.py
@@ -17,11 +17,12 @@
 
 # Batches load changes, as each update is a message to every attached entry.
 PUBLISH_INTERVAL_S: t.Final = 0.15
-# Minimum time between two sums sent to other control processes.
+# Minimum time between two load sums sent to other control processes.
 EXCHANGE_INTERVAL_S: t.Final = 0.05
-# Sent as a heartbeat when nothing has changed.
+# Sums are repeated as heartbeats when nothing has changed.
 REFRESH_INTERVAL_S: t.Final = 0.1
-# Includes processes without entries, which may get some soon.
+# Replicas without attached entries get sums less often: they need them only
+# once an entry attaches.
 BROADCAST_INTERVAL_S: t.Final = 1.0
 EXPIRY_INTERVAL_S: t.Final = 0.1
 # Batches entries that attach at the same time.
@@ -37,8 +38,8 @@
     :param local_node: this process.
     :param view: the cluster view that is served.
     :param has_leader_contact: returns whether the view is current.
-    :param leader: returns the address that entries are redirected to while
-        the view is not current.
+    :param leader_address: returns the address that entries are redirected
+        to while the view is not current.
     """
 
     def __init__(
@@ -47,14 +48,14 @@
         local_node: messages.ControlNode,
         view: _clusterview.ClusterView,
         has_leader_contact: cabc.Callable[[], bool],
-        leader: cabc.Callable[[], str],
+        leader_address: cabc.Callable[[], str],
         clock: cabc.Callable[[], float],
     ) -> None:
         self.transport = transport
         self.local_node = local_node
         self.view = view
         self.has_leader_contact = has_leader_contact
-        self.leader = leader
+        self.leader_address = leader_address
         self.clock = clock
         self.loads = decisions.LoadAggregator(
             local_node.address, local_node.data_centre, random.getrandbits(32)
@@ -92,8 +93,10 @@
         if self.has_leader_contact():
             reply = self.view.reply(watch.known)
         else:
-            core = self.view.core
-            reply = messages.WatchReply('not_leader', self.leader(), core)
+            core = self.view.voter_addresses
+            reply = messages.WatchReply(
+                'not_leader', self.leader_address(), core
+            )
         return attrs.evolve(reply, loads=self._summary(watch))
 
     def _schedule_attach_hooks(self) -> None:
@@ -114,13 +117,15 @@
         )
 
     def _summary(self, watch: messages.Watch) -> messages.LoadSummary | None:
-        known = watch.known_loads
-        if self.loads.number == known:
+        known_number = watch.known_loads
+        if self.loads.number == known_number:
             return None
-        if self.loads.number < known:
-            # The number is from a former start of this process.
-            known = 0
-        return self.loads.summary_for(watch.entry.name, known, self.clock())
+        if self.loads.number < known_number:
+            # The number was issued before a restart of this process.
+            known_number = 0
+        return self.loads.summary_for(
+            watch.entry.name, known_number, self.clock()
+        )
 
     async def _on_load_report(
         self, report: messages.LoadReport
--- a/src/bulrushhold/node/_zmqtransport.py
+++ b/src/bulrushhold/node/_zmqtransport.py
@@ -20,7 +20,7 @@
 HEARTBEAT_INTERVAL_MS: t.Final = 300
 CONNECTION_TIMEOUT_MS: t.Final = 900
 _NO_REPLY: t.Final = b''
-# Yields to the event loop's other callbacks after this many.
+# After this many messages the event loop runs other callbacks.
 MAX_MESSAGES_PER_READ: t.Final = 50
 UNBIND_TIMEOUT_S: t.Final = 1.0
 UNBIND_CHECK_INTERVAL_S: t.Final = 0.005
@@ -47,7 +47,7 @@
         self.frame_count = frame_count
         self.loop = asyncio.get_running_loop()
         self.descriptor = zmq_socket.getsockopt(zmq.FD)
-        self.scheduled: asyncio.Handle | None = None
+        self.scheduled_read: asyncio.Handle | None = None
         self.loop.add_reader(self.descriptor, self._read)
         self._schedule_read()
 
@@ -73,18 +73,18 @@
         if self.closed:
             return
         self.loop.remove_reader(self.descriptor)
-        if self.scheduled is not None:
-            self.scheduled.cancel()
+        if self.scheduled_read is not None:
+            self.scheduled_read.cancel()
         self.socket.close(linger=0)
 
     def _schedule_read(self) -> None:
-        if self.scheduled is None:
-            self.scheduled = self.loop.call_soon(self._read)
+        if self.scheduled_read is None:
+            self.scheduled_read = self.loop.call_soon(self._read)
 
     def _read(self) -> None:
-        if self.scheduled is not None:
-            self.scheduled.cancel()
-            self.scheduled = None
+        if self.scheduled_read is not None:
+            self.scheduled_read.cancel()
+            self.scheduled_read = None
         for _ in range(MAX_MESSAGES_PER_READ):
             try:
                 frames = self.socket.recv_multipart(zmq.DONTWAIT)
@@ -99,7 +99,7 @@
     """Receives on one ROUTER socket and sends on one DEALER per peer.
 
     Messages beyond a queue's limit are dropped, so that an unreachable peer
-    doesn't exhaust memory. Senders have to expect losses anyway.
+    doesn't exhaust memory. Messages may also be lost on a connection failure.
     """
 
     def __init__(
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -9,7 +9,7 @@
 from bulrushhold import settings
 
 
-async def start_core(core):
+async def start_cluster(core):
     peers = {name: core.address() for name in ('a', 'b', 'c')}
     for name, peer in peers.items():
         core.start(name, peer, peers)
@@ -20,29 +20,28 @@
 
 
 async def test_an_empty_replica_at_a_new_address_becomes_a_voter(core):
-    # The new replica only has a stale list of contacts. If it could not
-    # reply to the leader, it would never catch up, and the next lost disk
-    # would leave a single copy of the log.
-    peers = await start_core(core)
+    # The new replica only has a stale list of contacts. It must still be able
+    # to reply to the leader; otherwise it would never catch up.
+    peers = await start_cluster(core)
     stopped = next(n for n in 'abc' if core.running[n][0] is not core.leader())
     await core.stop(stopped)
     replacement = core.start('d', core.address(), contacts=peers.values())
     expected_voters = sorted({'a', 'b', 'c', 'd'} - {stopped})
     await core.until(lambda: core.voters() == expected_voters)
     assert replacement.state.map_version == 7
-    second = next(
+    second_stopped = next(
         n
         for n in core.running
         if n != 'd' and core.running[n][0] is not core.leader()
     )
-    await core.stop(second)
+    await core.stop(second_stopped)
     command = messages.encode(messages.RouteMapPut(9, b'packed', b'source'))
     reply = await core.leader().propose(command)
     assert reply.status == 'done'
 
 
 async def test_a_replica_that_lost_its_disk_becomes_a_voter_again(core):
-    peers = await start_core(core)
+    peers = await start_cluster(core)
     stopped = next(n for n in 'abc' if core.running[n][0] is not core.leader())
     await core.stop(stopped)
     for file in (core.folder / stopped).iterdir():
@@ -61,7 +60,7 @@
 
 
 async def test_an_empty_replica_finds_the_leader_through_a_follower(core):
-    peers = await start_core(core)
+    peers = await start_cluster(core)
     follower = next(
         n for n in 'abc' if core.running[n][0] is not core.leader()
     )
@@ -89,8 +88,8 @@
 async def test_a_relay_selects_one_replica_to_bootstrap_the_log(
     core, monkeypatch
 ):
-    # All contacts are relays. The replicas must agree on a single log, and
-    # find each other through the relay.
+    # All contacts are relays. More than one bootstrapped replica would create
+    # separate logs.
     monkeypatch.setattr('bulrushhold.control._relay.BOOTSTRAP_DELAY_S', 0.1)
     monkeypatch.setattr(
         'bulrushhold.control._relay.LEADER_CHECK_INTERVAL_S', 0.05
@@ -126,8 +125,8 @@
 
 
 async def test_a_relay_without_other_contacts_learns_the_leader(core):
-    # After a full restart all configured addresses may be relays, which
-    # store nothing: the replicas have to contact them.
+    # After a full restart a relay that only has addresses of relays can't
+    # find a replica, so the replicas have to contact it.
     address = core.address()
     peers = {name: core.address() for name in 'abc'}
     for name, peer in peers.items():
@@ -139,7 +138,7 @@
     fleet = control.FleetRelay(relay, 'dc')
     relay_task = asyncio.ensure_future(relay.run())
     await core.until(lambda: relay.leader != '')
-    assert relay.core == sorted(map(str, peers.values()))
+    assert relay.voter_addresses == sorted(map(str, peers.values()))
     entry = messages.ListedEntry('e1', 'dc', '127.0.0.1:1', True)
     reply = await fleet.watch._on_watch(
         messages.Watch(entry, messages.Known(), hold_s=0.0)
