--- a/src/bulrushhold/calls.py
+++ b/src/bulrushhold/calls.py
@@ -99,7 +99,7 @@
 
 
 @attrs.frozen
-class AnswerHead:
+class ResponseHead:
     """Status and headers of a backend server's answer.
 
     :param headers: headers to forward to the caller.
@@ -119,10 +119,10 @@
     load: BackendLoad | None = None
 
 
-class BackendAnswer(abc.ABC):
+class BackendResponse(abc.ABC):
     """An answer whose body is still being received."""
 
-    head: AnswerHead
+    head: ResponseHead
 
     @abc.abstractmethod
     async def chunk(self) -> bytes:
@@ -147,7 +147,7 @@
     """Client of backend servers."""
 
     @abc.abstractmethod
-    async def send(self, call: Call, attempt: Attempt) -> BackendAnswer:
+    async def send(self, call: Call, attempt: Attempt) -> BackendResponse:
         """Send a call and return the answer after its headers.
 
         :raises BackendError: its ``step`` is ``connect`` only if no byte of
@@ -245,7 +245,9 @@
         """Return all headers of an attempt."""
 
     @abc.abstractmethod
-    def read_head(self, call: Call, status: int, headers: t.Any) -> AnswerHead:
+    def read_head(
+        self, call: Call, status: int, headers: t.Any
+    ) -> ResponseHead:
         """Decode status and headers of an answer.
 
         :param headers: case-insensitive multi-mapping.
--- a/src/bulrushhold/emulator/_client.py
+++ b/src/bulrushhold/emulator/_client.py
@@ -11,12 +11,12 @@
 CONNECT_TIMEOUT_S: t.Final = 0.25
 
 
-class _Answer(calls.BackendAnswer):
+class _Response(calls.BackendResponse):
     def __init__(
         self,
         engine: _engine.Engine,
         run: _engine.Run | None,
-        head: calls.AnswerHead,
+        head: calls.ResponseHead,
         first_event: int | None = None,
     ) -> None:
         self.engine = engine
@@ -58,7 +58,7 @@
 
     async def send(
         self, call: calls.Call, attempt: calls.Attempt
-    ) -> calls.BackendAnswer:
+    ) -> calls.BackendResponse:
         """Send a call and return its response."""
         engine = self.engines[attempt.address]
         await self._connect(engine, 'connect')
@@ -75,8 +75,8 @@
             raise
         if isinstance(first_event, errors.BackendError):
             raise errors.BackendError('reset', 'send', attempt.address)
-        head = calls.AnswerHead(200, (), True, True, False)
-        return _Answer(engine, run, head, first_event)
+        head = calls.ResponseHead(200, (), True, True, False)
+        return _Response(engine, run, head, first_event)
 
     def _run(
         self,
@@ -158,6 +158,6 @@
         """Do nothing: the emulator holds no connections."""
 
 
-def _refusal(engine: _engine.Engine, status: int) -> _Answer:
-    head = calls.AnswerHead(status, (), True, True, True)
-    return _Answer(engine, None, head)
+def _refusal(engine: _engine.Engine, status: int) -> _Response:
+    head = calls.ResponseHead(status, (), True, True, True)
+    return _Response(engine, None, head)
--- a/src/bulrushhold/forwarding/_context.py
+++ b/src/bulrushhold/forwarding/_context.py
@@ -80,7 +80,7 @@
 
 
 def record_load(
-    context: ForwardingContext, ident: str, head: calls.AnswerHead
+    context: ForwardingContext, ident: str, head: calls.ResponseHead
 ) -> None:
     """Record the server load that an answer reports."""
     if head.load is not None:
--- a/src/bulrushhold/forwarding/_engine_stream.py
+++ b/src/bulrushhold/forwarding/_engine_stream.py
@@ -52,7 +52,9 @@
     event_id_before: int | None = None
 
 
-def _close_answer(send_task: 'asyncio.Future[calls.BackendAnswer]') -> None:
+def _close_response(
+    send_task: 'asyncio.Future[calls.BackendResponse]',
+) -> None:
     """Close the answer of a cancelled send, if there is one.
 
     Otherwise the engine would keep generating until the connection is
@@ -67,7 +69,7 @@
 
     def __init__(
         self,
-        run: '_streams.StreamRun',
+        run: '_streams.StreamForwarder',
         engine: decisions.BackendServer,
         copy: calls.RunCopy | None,
         backup: decisions.BackendServer | None,
@@ -79,8 +81,8 @@
         self.copy = copy
         self.backup = backup
         self.reading = reading
-        self.answer: calls.BackendAnswer | None = None
-        self.send_task: asyncio.Future[calls.BackendAnswer] | None = None
+        self.response: calls.BackendResponse | None = None
+        self.send_task: asyncio.Future[calls.BackendResponse] | None = None
         self.received_event = False
         self.renewal: asyncio.Task[None] | None = None
         self.speeds = run.context.placement.speeds
@@ -92,8 +94,8 @@
         self.pauses = decisions.PauseSamples(self.stall_timeouts.long_pause_s)
 
     async def run(self) -> calls.Reply | None:
-        answer = await self._open()
-        head = answer.head
+        response = await self._open()
+        head = response.head
         _context.record_load(self.context, self.engine.ident, head)
         if head.not_run:
             if head.status == 421:
@@ -106,8 +108,8 @@
         if not head.matches_request or not head.from_backend:
             raise StreamLostError('mismatched answer', unreachable=False)
         if head.status >= 300:
-            return await self._failure_reply(answer)
-        await self._relay(answer)
+            return await self._failure_reply(response)
+        await self._relay(response)
         now = self.context.clock()
         self.context.placement.record_success(self.engine.ident, now, None)
         if self.copy is None and self.stream.job.call.last_event_id is None:
@@ -128,13 +130,13 @@
             self.renewal.cancel()
 
     def _cancel_send(
-        self, send_task: 'asyncio.Future[calls.BackendAnswer]'
+        self, send_task: 'asyncio.Future[calls.BackendResponse]'
     ) -> None:
         if send_task.done():
-            _close_answer(send_task)
+            _close_response(send_task)
             return
         send_task.cancel()
-        send_task.add_done_callback(_close_answer)
+        send_task.add_done_callback(_close_response)
 
     async def drop_copy(self) -> None:
         """Free the requested copy after the stream has completed.
@@ -147,7 +149,7 @@
             self.stream.copy = None
             await self.context.client.drop_copy(copy, COPY_RENEWAL_S)
 
-    async def _open(self) -> calls.BackendAnswer:
+    async def _open(self) -> calls.BackendResponse:
         attempt = calls.Attempt(
             self.engine.address,
             self.engine.ident,
@@ -175,11 +177,11 @@
             if not answered and not self.send_task.done():
                 raise StreamLostError(NO_PROBE_ANSWER)
         try:
-            self.answer = self.send_task.result()
+            self.response = self.send_task.result()
         except errors.BackendError as error:
             sent = error.step != 'connect'
             raise StreamLostError(str(error), sent=sent, reset=sent) from error
-        return self.answer
+        return self.response
 
     def _expect_first_event(self) -> None:
         """Record when the first event is expected."""
@@ -215,12 +217,14 @@
                 self.context.client, self.engine.address
             )
 
-    async def _failure_reply(self, answer: calls.BackendAnswer) -> calls.Reply:
+    async def _failure_reply(
+        self, response: calls.BackendResponse
+    ) -> calls.Reply:
         try:
-            body = await answer.body()
+            body = await response.body()
         except errors.BackendError as error:
             raise StreamLostError(str(error), unreachable=False) from error
-        head = answer.head
+        head = response.head
         reply = calls.Reply(head.status, head.headers, body)
         if head.status < 500 or not self.stream.job.route.repeatable:
             return reply
@@ -229,23 +233,23 @@
             f'failed with status {head.status}', unreachable=False
         )
 
-    async def _relay(self, answer: calls.BackendAnswer) -> None:
+    async def _relay(self, response: calls.BackendResponse) -> None:
         splitter = _events.EventSplitter()
         while True:
-            chunk = await self._next_chunk(answer)
+            chunk = await self._next_chunk(response)
             if not chunk:
                 break
             try:
                 events = splitter.feed(chunk)
             except errors.BackendError as error:
                 raise StreamLostError(str(error), unreachable=False) from error
-            await self._forward_new_events(answer, events)
+            await self._forward_new_events(response, events)
             self._ensure_copy()
         if splitter.buffer:
             raise StreamLostError('incomplete last event', unreachable=False)
         if not self.stream.caller_stream.headers_sent:
             await self.stream.caller_stream.send_headers(
-                answer.head.status, answer.head.headers
+                response.head.status, response.head.headers
             )
         await self.stream.caller_stream.end()
 
@@ -308,7 +312,7 @@
         _context.log(stream.job, 'copy requested', at=target.ident)
 
     async def _forward_new_events(
-        self, answer: calls.BackendAnswer, events: list[_events.Event]
+        self, response: calls.BackendResponse, events: list[_events.Event]
     ) -> None:
         """Forward the events that directly follow the caller's last one."""
         data = b''
@@ -325,11 +329,13 @@
                 self.stream.last_event_id = event.event_id
             data += event.data
         if data:
-            await self._forward(answer, data)
+            await self._forward(response, data)
         if gap:
             raise StreamLostError(gap, unreachable=False)
 
-    async def _forward(self, answer: calls.BackendAnswer, data: bytes) -> None:
+    async def _forward(
+        self, response: calls.BackendResponse, data: bytes
+    ) -> None:
         now = self.context.clock()
         if self.received_event:
             self.pauses.add(now - self.last_event_at)
@@ -351,12 +357,12 @@
         caller_stream = self.stream.caller_stream
         if not caller_stream.headers_sent:
             await caller_stream.send_headers(
-                answer.head.status, answer.head.headers
+                response.head.status, response.head.headers
             )
         self.stream.record_event_sent()
         await caller_stream.write(data)
 
-    async def _next_chunk(self, answer: calls.BackendAnswer) -> bytes:
+    async def _next_chunk(self, response: calls.BackendResponse) -> bytes:
         silence = _liveness.SilenceTimer(self.context.clock)
         while True:
             probe_after_s = (
@@ -369,13 +375,13 @@
                 silence.measure(probe_after_s),
             ):
                 async with asyncio.timeout(probe_after_s):
-                    return await self._read(answer)
+                    return await self._read(response)
             if self.received_event:
                 self._check_stall(silence)
             else:
                 self._check_first_event(silence)
             if not await self._is_alive(silence):
-                return await self._read_buffered(answer)
+                return await self._read_buffered(response)
 
     def _check_stall(self, silence: _liveness.SilenceTimer) -> None:
         stalled_s = silence.seconds
@@ -387,11 +393,11 @@
                 f'stalled for {stalled_s:.2f} s', unreachable=False
             )
 
-    async def _read_buffered(self, answer: calls.BackendAnswer) -> bytes:
+    async def _read_buffered(self, response: calls.BackendResponse) -> bytes:
         """Return what arrived during a failed probe, without waiting."""
         try:
             async with asyncio.timeout(0):
-                return await self._read(answer)
+                return await self._read(response)
         except TimeoutError:
             raise StreamLostError(NO_PROBE_ANSWER) from None
 
@@ -422,8 +428,8 @@
             common, usual, objective.gap_s, _liveness.PROBE_TIMEOUT_S
         )
 
-    async def _read(self, answer: calls.BackendAnswer) -> bytes:
+    async def _read(self, response: calls.BackendResponse) -> bytes:
         try:
-            return await answer.chunk()
+            return await response.chunk()
         except errors.BackendError as error:
             raise StreamLostError(str(error), reset=True) from error
--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -165,10 +165,10 @@
             self._remaining_s(),
             fresh=not self.repeatable,
         )
-        answer = None
+        response = None
         try:
-            answer = await self.context.client.send(self.job.call, attempt)
-            head = answer.head
+            response = await self.context.client.send(self.job.call, attempt)
+            head = response.head
             _context.record_load(self.context, backend.ident, head)
             if head.not_run:
                 if head.status == 421:
@@ -178,7 +178,7 @@
                 )
             if not head.matches_request or not head.from_backend:
                 return _Result(errors.Ran.UNKNOWN, 'mismatched answer')
-            body = await answer.body()
+            body = await response.body()
             return _Result(
                 errors.Ran.YES,
                 f'failed with status {head.status}',
@@ -189,8 +189,8 @@
             ran = errors.Ran.UNKNOWN if sent else errors.Ran.NO
             return _Result(ran, str(error))
         finally:
-            if answer is not None:
-                answer.close()
+            if response is not None:
+                response.close()
 
     def _record_result(
         self, backend: decisions.BackendServer, result: _Result, seconds: float
--- a/src/bulrushhold/web/_backends.py
+++ b/src/bulrushhold/web/_backends.py
@@ -26,10 +26,10 @@
 _HTTP_ERRORS: t.Final = (aiohttp.ClientError, OSError, ValueError)
 
 
-class _HttpBackendAnswer(calls.BackendAnswer):
+class _HttpBackendResponse(calls.BackendResponse):
     def __init__(
         self,
-        head: calls.AnswerHead,
+        head: calls.ResponseHead,
         response: aiohttp.ClientResponse,
         address: str,
     ) -> None:
@@ -68,7 +68,7 @@
 
     async def send(
         self, call: calls.Call, attempt: calls.Attempt
-    ) -> calls.BackendAnswer:
+    ) -> calls.BackendResponse:
         """Send a call; see :meth:`calls.BackendClient.send`."""
         session = self.unpooled if attempt.fresh else self.pooled
         url = yarl.URL(f'http://{attempt.address}{call.target}', encoded=True)
@@ -94,7 +94,7 @@
         except _HTTP_ERRORS as error:
             raise _to_backend_error(error, 'send', attempt.address) from error
         head = self.dialect.read_head(call, response.status, response.headers)
-        return _HttpBackendAnswer(head, response, attempt.address)
+        return _HttpBackendResponse(head, response, attempt.address)
 
     async def probe(self, address: str, timeout: float) -> bool:
         """Request a model engine's status report as a health check."""
--- a/tests/forwarding/fakes.py
+++ b/tests/forwarding/fakes.py
@@ -33,13 +33,13 @@
     open_delay_s: float = 0.0
 
 
-class FakeAnswer(calls.BackendAnswer):
+class FakeAnswer(calls.BackendResponse):
     def __init__(self, client, address, script):
         self.script = script
         self.client = client
         self.address = address
         self.remaining_events = list(script.events)
-        self.head = calls.AnswerHead(
+        self.head = calls.ResponseHead(
             script.status,
             (('X-Engine', address),),
             script.matches_request,
--- a/tests/test_backend_connections.py
+++ b/tests/test_backend_connections.py
@@ -22,7 +22,7 @@
         return [*call.headers, ('Host', call.host)]
 
     def read_head(self, call, status, headers):
-        return calls.AnswerHead(status, (), True, True, False)
+        return calls.ResponseHead(status, (), True, True, False)
 
     def copy_request(self, call, target):
         return '/copy', b''
@@ -93,8 +93,8 @@
 async def send_request(client, server, target='/a', method='GET', fresh=False):
     call = calls.Call('r', method, target, 'h', '', (), b'', 1.0)
     attempt = calls.Attempt(server.address, 'i', '', 1.0, fresh=fresh)
-    answer = await client.send(call, attempt)
-    return await answer.body()
+    response = await client.send(call, attempt)
+    return await response.body()
 
 
 @pytest.mark.parametrize('late', [False, True])
