--- a/src/bulrushhold/calls.py
+++ b/src/bulrushhold/calls.py
@@ -64,7 +64,7 @@
     :param backup: address of the engine that receives a copy of the run's
         memory; ``''`` for none.
     :param copy: copy of the run's memory from which to resume.
-    :param fresh: whether to open a new connection.
+    :param new_connection: whether to open a new connection.
     """
 
     address: str
@@ -74,7 +74,7 @@
     last_event_id: int | None = None
     backup: str = ''
     copy: 'RunCopy | None' = None
-    fresh: bool = False
+    new_connection: bool = False
 
 
 @attrs.frozen
@@ -245,7 +245,7 @@
         """Return all headers of an attempt."""
 
     @abc.abstractmethod
-    def read_head(
+    def decode_head(
         self, call: Call, status: int, headers: t.Any
     ) -> ResponseHead:
         """Decode status and headers of an answer.
@@ -262,7 +262,7 @@
         """Return the path under which a copy is deleted."""
 
     @abc.abstractmethod
-    def read_copy(self, body: bytes) -> str:
+    def decode_copy_name(self, body: bytes) -> str:
         """Return the copy's name from the answer to a copy request.
 
         :raises BackendError: if the answer is malformed.
@@ -288,7 +288,7 @@
     """Decodes the protocol of callers."""
 
     @abc.abstractmethod
-    def read_call(
+    def decode_call(
         self, method: str, target: str, headers: t.Any, body: bytes
     ) -> Call:
         """Decode a request.
--- a/src/bulrushhold/forwarding/_engine_stream.py
+++ b/src/bulrushhold/forwarding/_engine_stream.py
@@ -160,7 +160,7 @@
             copy=self.copy,
             # The engine may close an idle connection at any time, which would
             # look like a crash.
-            fresh=True,
+            new_connection=True,
         )
         self.send_task = asyncio.ensure_future(
             self.context.client.send(self.stream.job.call, attempt)
--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -163,7 +163,7 @@
             backend.ident,
             self.job.account,
             self._remaining_s(),
-            fresh=not self.repeatable,
+            new_connection=not self.repeatable,
         )
         response = None
         try:
--- a/src/bulrushhold/web/_backends.py
+++ b/src/bulrushhold/web/_backends.py
@@ -70,7 +70,7 @@
         self, call: calls.Call, attempt: calls.Attempt
     ) -> calls.BackendResponse:
         """Send a call; see :meth:`calls.BackendClient.send`."""
-        session = self.unpooled if attempt.fresh else self.pooled
+        session = self.unpooled if attempt.new_connection else self.pooled
         url = yarl.URL(f'http://{attempt.address}{call.target}', encoded=True)
         try:
             response = await session.request(
@@ -93,7 +93,9 @@
             ) from error
         except _HTTP_ERRORS as error:
             raise _to_backend_error(error, 'send', attempt.address) from error
-        head = self.dialect.read_head(call, response.status, response.headers)
+        head = self.dialect.decode_head(
+            call, response.status, response.headers
+        )
         return _HttpBackendResponse(head, response, attempt.address)
 
     async def probe(self, address: str, timeout: float) -> bool:
@@ -143,7 +145,7 @@
             raise _to_backend_error(error, 'copy', source) from error
         if status != 200:
             raise errors.BackendError(f'status {status}', 'copy', source)
-        return calls.RunCopy(source, self.dialect.read_copy(answer))
+        return calls.RunCopy(source, self.dialect.decode_copy_name(answer))
 
     async def drop_copy(self, copy: calls.RunCopy, timeout: float) -> None:
         """Delete a copy; see :meth:`calls.BackendClient.drop_copy`."""
--- a/src/bulrushhold/web/_ingress.py
+++ b/src/bulrushhold/web/_ingress.py
@@ -106,7 +106,7 @@
         ident = ''
         try:
             body = await request.read()
-            call = self.dialect.read_call(
+            call = self.dialect.decode_call(
                 request.method, request.raw_path, request.headers, body
             )
             ident = call.ident
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -29,7 +29,7 @@
     reply = await fakes.run_plain(context, routes.Kind.ONCE)
     assert reply.body == b'done'
     assert client.attempts[0].address != client.attempts[1].address
-    assert all(attempt.fresh for attempt in client.attempts)
+    assert all(attempt.new_connection for attempt in client.attempts)
 
 
 async def test_a_server_error_is_returned_for_a_call_that_may_run_only_once(
--- a/tests/platform/test_fuzzing.py
+++ b/tests/platform/test_fuzzing.py
@@ -152,7 +152,7 @@
 @hypothesis.given(BODY | DEEPLY_NESTED)
 def test_cache_response_is_decoded_or_rejected(body):
     engines = _enginedialect.PlatformEngineDialect()
-    for decode in (engines.decode_segments, engines.read_copy):
+    for decode in (engines.decode_segments, engines.decode_copy_name):
         try:
             decode(body)
         except errors.BackendError as error:
@@ -182,7 +182,7 @@
 def test_request_headers_are_decoded_or_rejected(headers):
     headers = {'Bulrushhold-Request-Id': 'r', **headers}
     try:
-        call = _callerdialect.PlatformCallerDialect().read_call(
+        call = _callerdialect.PlatformCallerDialect().decode_call(
             'POST', '/a', multidict.CIMultiDict(headers), b''
         )
     except errors.RequestError as error:
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -28,8 +28,8 @@
 )
 
 
-def read_call(headers=HEADERS):
-    return _callerdialect.PlatformCallerDialect().read_call(
+def decode_call(headers=HEADERS):
+    return _callerdialect.PlatformCallerDialect().decode_call(
         'POST', '/a/b?c', headers, b''
     )
 
@@ -43,7 +43,7 @@
 
 
 def test_a_request_is_decoded():
-    call = read_call()
+    call = decode_call()
     assert call.ident == 'req-1'
     assert call.host == 'forms.example'
     assert call.key == 'secret'
@@ -71,18 +71,18 @@
 def test_reserved_headers_from_callers_are_dropped(name):
     headers = multidict.CIMultiDict(HEADERS)
     headers[name] = 'forged'
-    assert 'forged' not in sent_headers(read_call(headers)).values()
+    assert 'forged' not in sent_headers(decode_call(headers)).values()
 
 
 def test_headers_listed_in_connection_are_not_forwarded():
     headers = multidict.CIMultiDict(HEADERS)
     headers['Connection'] = 'close, X-Own'
-    assert 'X-Own' not in sent_headers(read_call(headers))
+    assert 'X-Own' not in sent_headers(decode_call(headers))
 
 
 def test_attempt_headers_name_deadline_and_instance():
     headers = sent_headers(
-        read_call(),
+        decode_call(),
         last_event_id=7,
         backup='10.0.0.2:80',
         copy=calls.RunCopy('10.0.0.3:80'),
@@ -99,41 +99,41 @@
 
 def test_requested_copy_is_addressed_by_its_handle():
     headers = sent_headers(
-        read_call(), copy=calls.RunCopy('10.0.0.3:80', 'h7')
+        decode_call(), copy=calls.RunCopy('10.0.0.3:80', 'h7')
     )
     assert headers['Kv-From'] == '10.0.0.3:80/h7'
 
 
-def read_answer_head(status=200, **headers):
+def decode_head(status=200, **headers):
     pairs = multidict.CIMultiDict(
         {'Bulrushhold-Request-Id': 'req-1', **headers}
     )
-    return _enginedialect.PlatformEngineDialect().read_head(
-        read_call(), status, pairs
+    return _enginedialect.PlatformEngineDialect().decode_head(
+        decode_call(), status, pairs
     )
 
 
 def test_response_is_checked_by_id_stamp_and_encoding():
-    stamped = read_answer_head(**{'Bulrushhold-Response-Stamp': 's'})
+    stamped = decode_head(**{'Bulrushhold-Response-Stamp': 's'})
     assert (
         stamped.matches_request
         and stamped.from_backend
         and not stamped.not_run
     )
-    assert not read_answer_head(
+    assert not decode_head(
         **{'Bulrushhold-Request-Id': 'req-2'}
     ).matches_request
-    assert not read_answer_head(**{'Content-Encoding': 'gzip'}).matches_request
-    assert not read_answer_head().from_backend
-    assert read_answer_head(503, **{'Bulrushhold-Not-Run': '1'}).not_run
-    assert read_answer_head(421).not_run
-    assert not read_answer_head(500).not_run
+    assert not decode_head(**{'Content-Encoding': 'gzip'}).matches_request
+    assert not decode_head().from_backend
+    assert decode_head(503, **{'Bulrushhold-Not-Run': '1'}).not_run
+    assert decode_head(421).not_run
+    assert not decode_head(500).not_run
 
 
 def test_load_header_is_decoded_or_ignored():
-    load = read_answer_head(**{'Bulrushhold-Instance-Load': '3,1,8'}).load
+    load = decode_head(**{'Bulrushhold-Instance-Load': '3,1,8'}).load
     assert load == calls.BackendLoad(3, 1, 8)
-    assert read_answer_head(**{'Bulrushhold-Instance-Load': 'x'}).load is None
+    assert decode_head(**{'Bulrushhold-Instance-Load': 'x'}).load is None
 
 
 @pytest.mark.parametrize(
@@ -143,7 +143,7 @@
     headers = multidict.CIMultiDict(HEADERS)
     headers[name] = 'x'
     with pytest.raises(errors.RequestError) as exc_info:
-        read_call(headers)
+        decode_call(headers)
     assert exc_info.value.status == 400
     assert name in exc_info.value.reason
 
--- a/tests/test_backend_connections.py
+++ b/tests/test_backend_connections.py
@@ -21,7 +21,7 @@
     def request_headers(self, call, attempt):
         return [*call.headers, ('Host', call.host)]
 
-    def read_head(self, call, status, headers):
+    def decode_head(self, call, status, headers):
         return calls.ResponseHead(status, (), True, True, False)
 
     def copy_request(self, call, target):
@@ -30,7 +30,7 @@
     def drop_path(self, copy):
         return '/copy'
 
-    def read_copy(self, body):
+    def decode_copy_name(self, body):
         return ''
 
     def probe_path(self):
@@ -90,9 +90,13 @@
     await created.close()
 
 
-async def send_request(client, server, target='/a', method='GET', fresh=False):
+async def send_request(
+    client, server, target='/a', method='GET', new_connection=False
+):
     call = calls.Call('r', method, target, 'h', '', (), b'', 1.0)
-    attempt = calls.Attempt(server.address, 'i', '', 1.0, fresh=fresh)
+    attempt = calls.Attempt(
+        server.address, 'i', '', 1.0, new_connection=new_connection
+    )
     response = await client.send(call, attempt)
     return await response.body()
 
@@ -155,5 +159,5 @@
             address=f'127.0.0.1:{unused.getsockname()[1]}'
         )
     with pytest.raises(errors.BackendError) as exc_info:
-        await send_request(client, unreachable, fresh=True)
+        await send_request(client, unreachable, new_connection=True)
     assert exc_info.value.step == 'connect'
