--- a/src/bulrushhold/emulator/_engine.py
+++ b/src/bulrushhold/emulator/_engine.py
@@ -172,31 +172,33 @@
             self.running.append(self.queue.pop(0))
 
     def _next_to_read(self) -> Run | None:
-        unread = [run for run in self.running if run.unread_tokens]
-        return min(unread, key=lambda run: not run.from_copy, default=None)
+        unread_runs = [run for run in self.running if run.unread_tokens]
+        return min(
+            unread_runs, key=lambda run: not run.from_copy, default=None
+        )
 
     def _step_s(self) -> float:
         profile = self.profile
         seconds = profile.step_s + profile.step_s_per_run * len(self.running)
-        reading = self._next_to_read()
-        if reading is not None:
-            chunk_tokens = min(profile.chunk_tokens, reading.unread_tokens)
+        reading_run = self._next_to_read()
+        if reading_run is not None:
+            chunk_tokens = min(profile.chunk_tokens, reading_run.unread_tokens)
             seconds += chunk_tokens / profile.read_tokens_per_s
         return seconds
 
     def _step(self) -> None:
-        reading = self._next_to_read()
+        reading_run = self._next_to_read()
         for run in list(self.running):
             if not run.unread_tokens:
                 self._generate_token(run)
-        if reading is not None and reading in self.running:
+        if reading_run is not None and reading_run in self.running:
             chunk_tokens = min(
-                self.profile.chunk_tokens, reading.unread_tokens
+                self.profile.chunk_tokens, reading_run.unread_tokens
             )
-            reading.unread_tokens -= chunk_tokens
+            reading_run.unread_tokens -= chunk_tokens
             self.tokens_read += chunk_tokens
-            if not reading.unread_tokens:
-                self.cached_segments[reading.segment] = reading.prompt
+            if not reading_run.unread_tokens:
+                self.cached_segments[reading_run.segment] = reading_run.prompt
         while len(self.running) > 1 and not self.fits(0):
             self._preempt(self.running[-1])
 
--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -150,9 +150,9 @@
         now = emulated_now()
         traffic = {
             service: attrs.evolve(
-                load, waiting=self.admission.waiting[service]
+                service_traffic, waiting=self.admission.waiting[service]
             )
-            for service, load in self.budget.traffic(now).items()
+            for service, service_traffic in self.budget.traffic(now).items()
         }
         report = self.placement.load_report(self.name, traffic, now)
         self.system.load_aggregator.take(report, now)
@@ -168,7 +168,8 @@
         self.placement.apply_loads(summary, now)
         self.budget.apply_loads(summary.traffic, now)
         waiting = {
-            name: load.waiting for name, load in summary.traffic.items()
+            name: service_traffic.waiting
+            for name, service_traffic in summary.traffic.items()
         }
         self.admission.apply_loads(waiting, now)
 
@@ -307,7 +308,7 @@
         now = emulated_now()
         job = _make_job(load, ident, prompt, now, remaining_s)
         entry.budget.count_request(SERVICE, now)
-        run = asyncio.ensure_future(
+        stream_task = asyncio.ensure_future(
             forwarding.StreamForwarder(
                 entry.context, job, _Caller(outcome)
             ).run()
@@ -315,20 +316,20 @@
         # Callers abandon a stream that has no first event, and any stream
         # at its deadline.
         await asyncio.wait(
-            {run},
+            {stream_task},
             timeout=min(
                 remaining_s, FIRST_EVENT_TIMEOUT_FACTOR * load.target_latency_s
             ),
         )
         if outcome.first_event_s is not None:
             await asyncio.wait(
-                {run}, timeout=now + remaining_s - emulated_now()
+                {stream_task}, timeout=now + remaining_s - emulated_now()
             )
-        if not run.done():
-            run.cancel()
-            await asyncio.wait({run})
+        if not stream_task.done():
+            stream_task.cancel()
+            await asyncio.wait({stream_task})
             return
-        run.result()
+        stream_task.result()
 
 
 def _make_job(
--- a/src/bulrushhold/forwarding/_engine_stream.py
+++ b/src/bulrushhold/forwarding/_engine_stream.py
@@ -22,8 +22,8 @@
 PAUSE_REPORT_INTERVAL_S: t.Final = 0.2
 # Standard deviations above the mean that cover most pauses, and nearly all
 # of them (the latter as in RFC 6298).
-COMMON_DEVIATIONS: t.Final = 1.5
-USUAL_DEVIATIONS: t.Final = 4.0
+TYPICAL_PAUSE_DEVIATIONS: t.Final = 1.5
+LONG_PAUSE_DEVIATIONS: t.Final = 4.0
 # Engines drop a requested copy that has not been renewed for this long.
 COPY_TTL_S: t.Final = 4.0
 # Short enough for a copy to survive one failed renewal. Tokens generated since
@@ -69,26 +69,26 @@
 
     def __init__(
         self,
-        run: '_streams.StreamForwarder',
+        stream: '_streams.StreamForwarder',
         engine: decisions.BackendServer,
         copy: calls.RunCopy | None,
         backup: decisions.BackendServer | None,
-        reading: int,
+        unread_tokens: int,
     ) -> None:
-        self.stream = run
-        self.context = run.context
+        self.stream = stream
+        self.context = stream.context
         self.engine = engine
         self.copy = copy
         self.backup = backup
-        self.reading = reading
+        self.unread_tokens = unread_tokens
         self.response: calls.BackendResponse | None = None
         self.send_task: asyncio.Future[calls.BackendResponse] | None = None
         self.received_event = False
         self.renewal: asyncio.Task[None] | None = None
-        self.speeds = run.context.placement.speeds
-        self.started_at = run.context.clock()
+        self.speeds = stream.context.placement.speeds
+        self.started_at = stream.context.clock()
         self.read_sample: decisions.PromptRead | None = None
-        self.expected_first_s = 0.0
+        self.expected_first_event_s = 0.0
         self.pauses_reported_at = self.last_event_at = self.started_at
         self.stall_timeouts = self._make_stall_timeouts()
         self.pauses = decisions.PauseSamples(self.stall_timeouts.long_pause_s)
@@ -173,8 +173,8 @@
             if self.send_task.done():
                 break
             self._check_first_event(silence)
-            answered = await self._is_alive(silence)
-            if not answered and not self.send_task.done():
+            alive = await self._is_alive(silence)
+            if not alive and not self.send_task.done():
                 raise StreamLostError(NO_PROBE_ANSWER)
         try:
             self.response = self.send_task.result()
@@ -185,7 +185,10 @@
 
     def _expect_first_event(self) -> None:
         """Record when the first event is expected."""
-        if not self.reading or self.stream.job.call.last_event_id is not None:
+        if (
+            not self.unread_tokens
+            or self.stream.job.call.last_event_id is not None
+        ):
             # A resumed prompt may be cached, which would distort the speed.
             return
         now = self.context.clock()
@@ -195,7 +198,7 @@
             service, self.engine.ident, tokens, now
         )
         token_s = self.speeds.token_s(service, self.stream.objective, now)
-        self.expected_first_s = tokens * token_s
+        self.expected_first_event_s = tokens * token_s
 
     def _check_first_event(self, silence: _liveness.SilenceTimer) -> None:
         waited = silence.seconds
@@ -205,7 +208,7 @@
             )
         elsewhere_s = self.stream.estimate_capacity(self.engine.ident).first_s
         if waited > decisions.first_event_timeout_s(
-            self.expected_first_s, elsewhere_s
+            self.expected_first_event_s, elsewhere_s
         ):
             raise StreamLostError(
                 f'no first event after {waited:.2f} s', unreachable=False
@@ -348,8 +351,8 @@
                 self.speeds.record_read(
                     self.read_sample, self.stream.objective, now
                 )
-            self.context.placement.prompt_read(self.engine, self.reading)
-            self.reading = 0
+            self.context.placement.prompt_read(self.engine, self.unread_tokens)
+            self.unread_tokens = 0
             self.stream.record_resumption(self.engine.ident)
             self.context.placement.record_read(
                 self.stream.last_segment, self.engine.ident, now
@@ -415,17 +418,17 @@
 
     def _make_stall_timeouts(self) -> decisions.StallTimeouts:
         objective = self.stream.objective
-        common, usual = (
+        typical_s, long_s = (
             self.speeds.pause_s(
                 self.stream.job.service,
                 objective,
                 self.context.clock(),
                 deviations,
             )
-            for deviations in (COMMON_DEVIATIONS, USUAL_DEVIATIONS)
+            for deviations in (TYPICAL_PAUSE_DEVIATIONS, LONG_PAUSE_DEVIATIONS)
         )
         return decisions.StallTimeouts(
-            common, usual, objective.gap_s, _liveness.PROBE_TIMEOUT_S
+            typical_s, long_s, objective.gap_s, _liveness.PROBE_TIMEOUT_S
         )
 
     async def _read(self, response: calls.BackendResponse) -> bytes:
--- a/src/bulrushhold/forwarding/_fleet.py
+++ b/src/bulrushhold/forwarding/_fleet.py
@@ -70,7 +70,7 @@
         self.control_address = ''
         self.index: routes.RouteIndex | None = None
         self.backends_version = ''
-        self.backends_at = 0.0
+        self.backends_read_at = 0.0
         self.entries: list[messages.ListedEntry] = []
         self.entries_version = ''
         self.nodes_version = ''
@@ -114,15 +114,15 @@
                 self.control_address, time.monotonic()
             )
             try:
-                answered = await self._poll(address)
+                is_current = await self._poll(address)
             except errors.PeerError as error:
-                answered = False
+                is_current = False
                 if self.control_address == address:
                     loguru.logger.bind(peer=address, error=str(error)).warning(
                         'control lost'
                     )
                 self.servers.mark_failed(address, time.monotonic())
-            if not answered:
+            if not is_current:
                 self.control_address = ''
                 await asyncio.sleep(RETRY_PAUSE_S)
 
@@ -189,12 +189,12 @@
         if reply.backends is not None and (
             messages.is_newer(version, self.backends_version)
             if self.backends_version
-            else read_at > self.backends_at
+            else read_at > self.backends_read_at
         ):
             self.backends_version = version
             self._apply_backends(reply.backends)
         if version and version == self.backends_version:
-            self.backends_at = max(self.backends_at, read_at)
+            self.backends_read_at = max(self.backends_read_at, read_at)
 
     def _apply_loads(
         self, summary: messages.LoadSummary | None, address: str
@@ -244,8 +244,10 @@
     def _load_report(self, now: float) -> messages.LoadReport:
         self.poison_requests.confirm_crashes(now)
         traffic = {
-            service: attrs.evolve(one, waiting=self.admission.waiting[service])
-            for service, one in self.budget.traffic(now).items()
+            service: attrs.evolve(
+                service_traffic, waiting=self.admission.waiting[service]
+            )
+            for service, service_traffic in self.budget.traffic(now).items()
         }
         return attrs.evolve(
             self.placement.load_report(self.own_entry.name, traffic, now),
@@ -285,7 +287,7 @@
         while True:
             await asyncio.sleep(pause * (0.75 + random.random() / 2))
             pause = max(1.0, self.entry_count() / LIST_CALLS_PER_S)
-            if time.monotonic() - self.backends_at < LIST_MAX_AGE_S:
+            if time.monotonic() - self.backends_read_at < LIST_MAX_AGE_S:
                 continue
             with contextlib.suppress(TimeoutError, errors.PeerError):
                 async with asyncio.timeout(LIST_TIMEOUT_S):
--- a/src/bulrushhold/forwarding/_prompt_cache.py
+++ b/src/bulrushhold/forwarding/_prompt_cache.py
@@ -22,7 +22,7 @@
     candidates = context.placement.likely_cache_holders(
         job.service, segment, context.clock()
     )
-    answers = await asyncio.gather(
+    results = await asyncio.gather(
         *(
             context.client.cached_segments(candidate.address, LOOKUP_TIMEOUT_S)
             for candidate in candidates
@@ -30,7 +30,7 @@
         return_exceptions=True,
     )
     holders = []
-    for candidate, segments in zip(candidates, answers, strict=True):
+    for candidate, segments in zip(candidates, results, strict=True):
         if isinstance(segments, errors.BackendError):
             _context.log(
                 job,
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -276,13 +276,13 @@
         backup = self.choose_backup(engine)
         self.backup = backup
         self.backup_since = self.context.clock()
-        reading = 0 if copy else self.tokens
-        self.context.placement.stream_started(engine, reading)
+        unread_tokens = 0 if copy else self.tokens
+        self.context.placement.stream_started(engine, unread_tokens)
         engine.memory += self.memory
         if backup is not None:
             backup.memory += self.memory
         engine_stream = _engine_stream.EngineStream(
-            self, engine, copy, backup, reading
+            self, engine, copy, backup, unread_tokens
         )
         _context.log(
             self.job,
@@ -302,7 +302,9 @@
             return await engine_stream.run()
         finally:
             engine_stream.close()
-            self.context.placement.stream_ended(engine, engine_stream.reading)
+            self.context.placement.stream_ended(
+                engine, engine_stream.unread_tokens
+            )
             engine.memory -= self.memory
             if engine_stream.backup is not None:
                 engine_stream.backup.memory -= self.memory
--- a/src/bulrushhold/web/_backends.py
+++ b/src/bulrushhold/web/_backends.py
@@ -139,13 +139,15 @@
                     data=body,
                     headers={'Content-Type': 'application/json'},
                 ) as response:
-                    answer = await response.read()
+                    response_body = await response.read()
                     status = response.status
         except (TimeoutError, *_HTTP_ERRORS) as error:
             raise _to_backend_error(error, 'copy', source) from error
         if status != 200:
             raise errors.BackendError(f'status {status}', 'copy', source)
-        return calls.RunCopy(source, self.dialect.decode_copy_name(answer))
+        return calls.RunCopy(
+            source, self.dialect.decode_copy_name(response_body)
+        )
 
     async def drop_copy(self, copy: calls.RunCopy, timeout: float) -> None:
         """Delete a copy; see :meth:`calls.BackendClient.drop_copy`."""
