--- a/src/bulrushhold/emulator/__init__.py
+++ b/src/bulrushhold/emulator/__init__.py
@@ -4,16 +4,16 @@
 from bulrushhold.emulator._clock import run
 from bulrushhold.emulator._engine import Engine
 from bulrushhold.emulator._engine import EngineProfile
-from bulrushhold.emulator._system import Load
 from bulrushhold.emulator._system import Outcome
 from bulrushhold.emulator._system import System
+from bulrushhold.emulator._system import Workload
 
 __all__ = [
     'EmulatedLoop',
     'Engine',
     'EngineProfile',
-    'Load',
     'Outcome',
     'System',
+    'Workload',
     'run',
 ]
--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class Load:
+class Workload:
     """Arrival rate, request sizes and latency objective of a workload.
 
     :param streams_per_s: mean arrival rate.
@@ -69,13 +69,13 @@
     completed: bool = False
     refused: bool = False
 
-    def meets_objective(self, load: Load) -> bool:
+    def meets_objective(self, workload: Workload) -> bool:
         """Return whether the response is complete and within the objective."""
         return (
             self.completed
             and self.first_event_s is not None
-            and self.first_event_s <= load.target_latency_s
-            and self.longest_pause_s <= load.max_gap_s
+            and self.first_event_s <= workload.target_latency_s
+            and self.longest_pause_s <= workload.max_gap_s
         )
 
 
@@ -246,23 +246,23 @@
         await asyncio.sleep(LIST_LAG_S)
         self.list_engines()
 
-    async def simulate(self, load: Load) -> list[Outcome]:
+    async def simulate(self, workload: Workload) -> list[Outcome]:
         """Generate a workload and return the outcome of each request."""
         callers = []
-        while emulated_now() < load.duration_s:
-            await asyncio.sleep(self.rng.expovariate(load.streams_per_s))
+        while emulated_now() < workload.duration_s:
+            await asyncio.sleep(self.rng.expovariate(workload.streams_per_s))
             segment = f'p{len(callers)}'
             prompt_tokens = self._sample(
-                load.prompt_tokens, load.relative_stddev
+                workload.prompt_tokens, workload.relative_stddev
             )
             self.lengths[segment] = self._sample(
-                load.output_tokens, load.relative_stddev
+                workload.output_tokens, workload.relative_stddev
             )
             outcome = Outcome(emulated_now())
             self.outcomes.append(outcome)
             callers.append(
                 asyncio.ensure_future(
-                    self._run_caller(load, segment, prompt_tokens, outcome)
+                    self._run_caller(workload, segment, prompt_tokens, outcome)
                 )
             )
         await asyncio.gather(*callers)
@@ -273,13 +273,19 @@
         return int(min(1.8 * mean, max(0.2 * mean, sample)))
 
     async def _run_caller(
-        self, load: Load, segment: str, prompt_tokens: int, outcome: Outcome
+        self,
+        workload: Workload,
+        segment: str,
+        prompt_tokens: int,
+        outcome: Outcome,
     ) -> None:
         for attempt in range(2):
-            remaining_s = outcome.arrived_at + load.timeout_s - emulated_now()
+            remaining_s = (
+                outcome.arrived_at + workload.timeout_s - emulated_now()
+            )
             try:
                 await self._send_once(
-                    load,
+                    workload,
                     f'{segment}-{attempt}',
                     segment,
                     prompt_tokens,
@@ -296,7 +302,7 @@
 
     async def _send_once(
         self,
-        load: Load,
+        workload: Workload,
         ident: str,
         segment: str,
         prompt_tokens: int,
@@ -304,9 +310,11 @@
     ) -> None:
         outcome = self.outcomes[int(segment[1:])]
         entry = self.rng.choice(self.entries)
-        prompt = calls.Prompt(prompt_tokens, load.output_tokens, (segment,))
+        prompt = calls.Prompt(
+            prompt_tokens, workload.output_tokens, (segment,)
+        )
         now = emulated_now()
-        job = _make_job(load, ident, prompt, now, remaining_s)
+        job = _make_job(workload, ident, prompt, now, remaining_s)
         entry.budget.count_request(SERVICE, now)
         stream_task = asyncio.ensure_future(
             forwarding.StreamForwarder(
@@ -318,7 +326,8 @@
         await asyncio.wait(
             {stream_task},
             timeout=min(
-                remaining_s, FIRST_EVENT_TIMEOUT_FACTOR * load.target_latency_s
+                remaining_s,
+                FIRST_EVENT_TIMEOUT_FACTOR * workload.target_latency_s,
             ),
         )
         if outcome.first_event_s is not None:
@@ -333,7 +342,7 @@
 
 
 def _make_job(
-    load: Load,
+    workload: Workload,
     ident: str,
     prompt: calls.Prompt,
     now: float,
@@ -357,10 +366,10 @@
         '/a/',
         routes.Kind.STREAM,
         [routes.Target(SERVICE, 1.0)],
-        load.timeout_s,
-        load.target_latency_s,
+        workload.timeout_s,
+        workload.target_latency_s,
         max_attempts=5,
         resumable=True,
-        gap_s=load.max_gap_s,
+        gap_s=workload.max_gap_s,
     )
     return forwarding.Job(call, route, SERVICE, 'a', now + remaining_s)
--- a/tests/emulator/conftest.py
+++ b/tests/emulator/conftest.py
@@ -10,7 +10,7 @@
 
 ENGINES = 12
 ENTRIES = 10
-LOAD = emulator.Load(streams_per_s=3.1, duration_s=24.0)
+WORKLOAD = emulator.Workload(streams_per_s=3.1, duration_s=24.0)
 # Start time, data centre, whether its engines become unreachable.
 OUTAGES = ((4.5, 'dc0', False), (11.0, 'dc1', True), (18.0, 'dc2', False))
 
@@ -32,7 +32,7 @@
     reads_per_prompt: float
 
 
-async def _simulate(profile, load, outages, seed):
+async def _simulate(profile, workload, outages, seed):
     system = emulator.System([profile] * ENGINES, ENTRIES, seed)
     faults = [
         asyncio.ensure_future(
@@ -42,25 +42,28 @@
         )
         for start_s, data_centre, unreachable in outages
     ]
-    outcomes = await system.simulate(load)
+    outcomes = await system.simulate(workload)
     for fault in faults:
         fault.cancel()
     tokens = sum(engine.tokens_read for engine in system.engines.values())
     count = len(outcomes)
     return Result(
-        sum(outcome.meets_objective(load) for outcome in outcomes) / count,
+        sum(outcome.meets_objective(workload) for outcome in outcomes) / count,
         sum(outcome.completed for outcome in outcomes) / count,
-        sum(outcome.longest_pause_s > load.max_gap_s for outcome in outcomes)
+        sum(
+            outcome.longest_pause_s > workload.max_gap_s
+            for outcome in outcomes
+        )
         / count,
-        tokens / count / load.prompt_tokens,
+        tokens / count / workload.prompt_tokens,
     )
 
 
 @pytest.fixture
 def simulate():
-    def run(profile, load=LOAD, outages=OUTAGES, seeds=(1, 2)):
+    def run(profile, workload=WORKLOAD, outages=OUTAGES, seeds=(1, 2)):
         results = [
-            emulator.run(_simulate(profile, load, outages, seed))
+            emulator.run(_simulate(profile, workload, outages, seed))
             for seed in seeds
         ]
         means = map(
--- a/tests/emulator/test_service_levels.py
+++ b/tests/emulator/test_service_levels.py
@@ -43,8 +43,8 @@
 
 
 def test_two_in_five_streams_meet_objective_at_twice_the_load(simulate):
-    load = emulator.Load(streams_per_s=6.2, duration_s=20.0)
-    result = simulate(scaled_profile(), load)
+    workload = emulator.Workload(streams_per_s=6.2, duration_s=20.0)
+    result = simulate(scaled_profile(), workload)
     assert result.within_objective >= 0.4
 
 
