--- a/src/bulrushhold/calls.py
+++ b/src/bulrushhold/calls.py
@@ -37,7 +37,7 @@
     :param host: the ``Host`` header as sent.
     :param key: API key of the client account.
     :param headers: headers to forward, without any reserved ones.
-    :param wait_s: the caller's timeout.
+    :param timeout_s: time after which the caller gives up.
     :param last_event_id: id of the last event that the caller received.
     """
 
@@ -62,8 +62,8 @@
     :param remaining_s: time until the caller gives up.
     :param last_event_id: id of the event after which to resume.
     :param backup: address of the engine that receives a copy of the run's
-        memory; ``''`` for none.
-    :param copy: copy of the run's memory from which to resume.
+        KV cache; ``''`` for none.
+    :param copy: KV cache copy from which to resume.
     :param new_connection: whether to open a new connection.
     """
 
@@ -79,10 +79,11 @@
 
 @attrs.frozen
 class RunCopy:
-    """Identifies a copy of a run's memory.
+    """Identifies a copy of a run's KV cache.
 
     :param address: address of the engine that assigned the name.
-    :param name: ``''`` for the copy that an engine sends continuously.
+    :param name: ``''`` for the copy that an engine sends to its backup
+        continuously.
     """
 
     address: str
@@ -100,14 +101,14 @@
 
 @attrs.frozen
 class ResponseHead:
-    """Status and headers of a backend server's answer.
+    """Status and headers of a backend server's response.
 
     :param headers: headers to forward to the caller.
-    :param matches_request: the answer carries the id of the call.
-    :param from_backend: the answer carries the marker header of backend
+    :param matches_request: the response carries the id of the call.
+    :param from_backend: the response carries the marker header of backend
         servers.
     :param not_run: the backend server states that it did not run the call.
-    :param instance: ident of the answering process, or ``''``.
+    :param instance: ident of the responding process, or ``''``.
     """
 
     status: int
@@ -120,7 +121,7 @@
 
 
 class BackendResponse(abc.ABC):
-    """An answer whose body is still being received."""
+    """A response whose body is still being received."""
 
     head: ResponseHead
 
@@ -148,7 +149,7 @@
 
     @abc.abstractmethod
     async def send(self, call: Call, attempt: Attempt) -> BackendResponse:
-        """Send a call and return the answer after its headers.
+        """Send a call and return the response as soon as its headers arrive.
 
         :raises BackendError: its ``step`` is ``connect`` only if no byte of
             the call can have been sent.
@@ -156,9 +157,10 @@
 
     @abc.abstractmethod
     async def probe(self, address: str, timeout: float) -> bool:
-        """Return whether an engine answers a liveness probe in time.
+        """Return whether an engine responds to a liveness probe in time.
 
-        A probe takes no slot, and a busy engine answers like an idle one.
+        A probe takes no slot, and a busy engine responds as fast as an idle
+        one.
 
         :param timeout: seconds.
         """
@@ -172,16 +174,17 @@
         The query slows the engine down a little.
 
         :param timeout: seconds.
-        :raises BackendError: if there is no valid answer in time.
+        :raises BackendError: if there is no valid response in time.
         """
 
     @abc.abstractmethod
     async def copy_run(
         self, call: Call, source: str, target: str, timeout: float
     ) -> RunCopy:
-        """Make an engine copy a run's memory to another engine.
+        """Make an engine copy a run's KV cache to another engine.
 
-        The run continues meanwhile. Later calls copy only what was added.
+        The run continues meanwhile. Later copies of the same run transfer only
+        what was added since.
 
         :param timeout: seconds.
         :raises BackendError: if the copy could not be made.
@@ -201,7 +204,7 @@
 
 @attrs.frozen
 class Reply:
-    """A complete answer to a caller."""
+    """A complete response to a caller."""
 
     status: int
     headers: Headers
@@ -209,7 +212,7 @@
 
 
 class CallerStream(abc.ABC):
-    """A streamed answer to a caller."""
+    """A streamed response to a caller."""
 
     headers_sent: bool
 
@@ -220,7 +223,7 @@
 
     @abc.abstractmethod
     async def send_headers(self, status: int, headers: Headers) -> None:
-        """Send status and headers of the answer."""
+        """Send status and headers of the response."""
 
     @abc.abstractmethod
     async def write(self, data: bytes) -> None:
@@ -228,11 +231,11 @@
 
     @abc.abstractmethod
     async def end(self) -> None:
-        """Complete the answer."""
+        """Complete the response."""
 
     @abc.abstractmethod
     def abort(self) -> None:
-        """Abort the answer, so that the caller sees it as truncated."""
+        """Abort the response, so that the caller detects the truncation."""
 
 
 class EngineDialect(abc.ABC):
@@ -248,14 +251,14 @@
     def decode_head(
         self, call: Call, status: int, headers: t.Any
     ) -> ResponseHead:
-        """Decode status and headers of an answer.
+        """Decode status and headers of a response.
 
         :param headers: case-insensitive multi-mapping.
         """
 
     @abc.abstractmethod
     def copy_request(self, call: Call, target: str) -> tuple[str, bytes]:
-        """Return path and body of a request to copy a run."""
+        """Return path and body of a request to copy a run's KV cache."""
 
     @abc.abstractmethod
     def drop_path(self, copy: RunCopy) -> str:
@@ -263,9 +266,9 @@
 
     @abc.abstractmethod
     def decode_copy_name(self, body: bytes) -> str:
-        """Return the copy's name from the answer to a copy request.
+        """Return the copy's name from the response to a copy request.
 
-        :raises BackendError: if the answer is malformed.
+        :raises BackendError: if the response is malformed.
         """
 
     @abc.abstractmethod
@@ -280,7 +283,7 @@
     def decode_segments(self, body: bytes) -> frozenset[str]:
         """Return the names of the segments that an engine has cached.
 
-        :raises BackendError: if the answer is malformed.
+        :raises BackendError: if the response is malformed.
         """
 
 
@@ -298,4 +301,4 @@
 
     @abc.abstractmethod
     def echo(self, ident: str) -> Headers:
-        """Return the headers that correlate an answer with its call."""
+        """Return the headers that correlate a response with its call."""
--- a/src/bulrushhold/emulator/_engine.py
+++ b/src/bulrushhold/emulator/_engine.py
@@ -107,7 +107,7 @@
         return asyncio.get_running_loop().time()
 
     def start(self) -> None:
-        """Start processing steps."""
+        """Start the loop that admits, reads and generates."""
         self.task = asyncio.ensure_future(self._run_steps())
 
     def crash(self, *, unreachable: bool) -> None:
--- a/src/bulrushhold/forwarding/_context.py
+++ b/src/bulrushhold/forwarding/_context.py
@@ -1,4 +1,4 @@
-"""Shared state and helpers of all opaque requests."""
+"""State and helper functions shared by all opaque requests."""
 
 import collections.abc as cabc
 import time
@@ -33,7 +33,7 @@
 class Job:
     """An accepted request with its route and target service.
 
-    :param deadline: when the caller gives up, by the context's clock.
+    :param deadline: time by the context's clock when the caller gives up.
     :param fingerprint: identical for all repetitions of the request.
     """
 
@@ -82,7 +82,7 @@
 def record_load(
     context: ForwardingContext, ident: str, head: calls.ResponseHead
 ) -> None:
-    """Record the server load that an answer reports."""
+    """Record the server load that a response reports."""
     if head.load is not None:
         context.placement.record_reported_load(
             ident, head.load.running, head.load.waiting, context.clock()
--- a/src/bulrushhold/forwarding/_engine_stream.py
+++ b/src/bulrushhold/forwarding/_engine_stream.py
@@ -20,8 +20,8 @@
 PROBE_INTERVAL_S: t.Final = 0.5
 # Pauses between events are reported in batches.
 PAUSE_REPORT_INTERVAL_S: t.Final = 0.2
-# Standard deviations above the mean that cover most pauses, and nearly all
-# of them (the latter as in RFC 6298).
+# Standard deviations above the mean pause: these cover most pauses, and nearly
+# all of them (the latter as in RFC 6298).
 TYPICAL_PAUSE_DEVIATIONS: t.Final = 1.5
 LONG_PAUSE_DEVIATIONS: t.Final = 4.0
 # Engines drop a requested copy that has not been renewed for this long.
@@ -39,10 +39,10 @@
     :param sent: the request may have reached the engine.
     :param unreachable: the engine crashed or is unreachable; ``False`` if it
         only returned an error.
-    :param reset: the engine broke the connection; so do live engines on
-        errors.
+    :param reset: the engine closed the connection, because of a crash or of
+        an error in a live engine.
     :param seconds: time since the stream was sent to the engine.
-    :param event_id_before: id of the caller's last event at that time.
+    :param event_id_before: id of the last event sent to the caller by then.
     """
 
     sent: bool = True
@@ -55,7 +55,7 @@
 def _close_response(
     send_task: 'asyncio.Future[calls.BackendResponse]',
 ) -> None:
-    """Close the answer of a cancelled send, if there is one.
+    """Close the response to a cancelled send, if there is one.
 
     Otherwise the engine would keep generating until the connection is
     garbage-collected.
@@ -65,7 +65,7 @@
 
 
 class EngineStream:
-    """One engine's part of a stream, relayed to the caller."""
+    """The events of a stream that one engine generates."""
 
     def __init__(
         self,
--- a/src/bulrushhold/forwarding/_forwarder.py
+++ b/src/bulrushhold/forwarding/_forwarder.py
@@ -41,7 +41,7 @@
     async def handle(
         self, call: calls.Call, caller_stream: calls.CallerStream
     ) -> calls.Reply | None:
-        """Serve one request; ``None`` if the answer was streamed.
+        """Serve one request; return ``None`` if the response was streamed.
 
         :raises RequestError: if the request is refused or fails; its ``ran``
             tells whether it may have run.
@@ -68,8 +68,8 @@
     async def _wait_for_start(self, call: calls.Call) -> None:
         """Wait a limited time for the first route map.
 
-        After a cold start all entries lack the map, so that a refusal would
-        only use up the caller's retries.
+        After a cold start no entry has the map, so that a refusal would only
+        use up the caller's retries.
         """
         wait = min(START_WAIT_S, call.wait_s * START_WAIT_SHARE)
         with contextlib.suppress(TimeoutError):
--- a/src/bulrushhold/forwarding/_liveness.py
+++ b/src/bulrushhold/forwarding/_liveness.py
@@ -1,4 +1,4 @@
-"""Tells a dead engine from a busy one, and from a delay of this process."""
+"""Detects dead engines without mistaking busy ones or local delays."""
 
 import asyncio
 import collections.abc as cabc
@@ -7,7 +7,7 @@
 
 from bulrushhold import calls
 
-# Busy engines answer probes as fast as idle ones.
+# Busy engines respond to probes as fast as idle ones.
 PROBE_TIMEOUT_S: t.Final = 0.18
 POLL_STEP_S: t.Final = 0.03
 POLL_STEPS: t.Final = round(PROBE_TIMEOUT_S / POLL_STEP_S)
@@ -17,10 +17,10 @@
 
 
 async def is_alive(client: calls.BackendClient, address: str) -> bool:
-    """Return whether an engine answers one of two probes.
+    """Return whether an engine responds to one of two probes.
 
     Counts event loop steps instead of time: a process that is short of CPU
-    reads its sockets late, and would take live engines for dead by the clock.
+    reads its sockets late, and a timeout would report live engines as dead.
     """
     probes: set[asyncio.Future[bool]] = set()
     try:
@@ -54,7 +54,7 @@
 
 
 class SilenceTimer:
-    """Measures how long an engine sent nothing while this process ran.
+    """Measures how long an engine has sent nothing while this process ran.
 
     A suspended machine resumes with all timers expired and the engines'
     events still unread. Each wait therefore counts for no more than its
--- a/src/bulrushhold/forwarding/_plain.py
+++ b/src/bulrushhold/forwarding/_plain.py
@@ -1,4 +1,4 @@
-"""Forwards a plain request, which has a single complete answer."""
+"""Forwards a plain request, whose response is not streamed."""
 
 import asyncio
 import contextlib
@@ -12,12 +12,12 @@
 from bulrushhold.forwarding import _context
 
 # An idempotent request is sent to another server after this multiple of the
-# mean latency; slow answers of a healthy server stay below it.
+# mean latency; a healthy server responds within it even when slow.
 STALL_FACTOR: t.Final = 6.0
 MIN_STALL_TIMEOUT_S: t.Final = 0.12
 # Delay before a second round, after all servers have been tried.
 RETRY_PAUSE_S: t.Final = 0.04
-# No server can answer within less than this.
+# No server can respond within less than this.
 MIN_REMAINING_S: t.Final = 0.01
 
 
@@ -25,8 +25,8 @@
 class _Result:
     """The result of one attempt.
 
-    :param reply: the server's answer, if any.
-    :param ran: whether the server may have run the request.
+    :param ran: whether the server ran the request, as far as known.
+    :param reply: the server's response, if any.
     """
 
     ran: errors.Ran
@@ -35,7 +35,7 @@
 
 
 class PlainForwarder:
-    """One plain request, with retries at other backend servers."""
+    """Forwards one plain request, with retries at other backend servers."""
 
     def __init__(
         self, context: _context.ForwardingContext, job: _context.Job
@@ -47,9 +47,9 @@
         self.repeatable = job.route.repeatable
 
     async def run(self) -> calls.Reply:
-        """Return the answer.
+        """Return the response.
 
-        :raises RequestError: if no server answered; its ``ran`` tells
+        :raises RequestError: if no server responded; its ``ran`` tells
             whether the request may have run.
         """
         last: _Result | None = None
@@ -151,7 +151,7 @@
         return _Result(errors.Ran.UNKNOWN, 'no answer before the deadline')
 
     def _can_switch(self) -> bool:
-        """Whether another attempt at a healthy server is possible."""
+        """Return whether another attempt at a healthy server is possible."""
         others = self.context.placement.usable(self.job.service)
         return self.attempts + 1 < self.job.route.max_attempts and any(
             b.ident not in self.tried and b.ejected_until == 0 for b in others
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -12,19 +12,20 @@
 from bulrushhold.forwarding import _liveness
 from bulrushhold.forwarding import _prompt_cache
 
-# A run that failed earlier has no copy at the backup yet.
+# A run that fails earlier has no copy at the backup yet.
 COPY_AFTER_S: t.Final = 0.3
 # Delay before a second round, after all engines have been tried.
 RETRY_PAUSE_S: t.Final = 0.05
 MIN_REMAINING_S: t.Final = 0.05
-# Only larger engines could serve a prompt that exceeds the memory of all.
+# A prompt that exceeds the memory of all engines needs larger ones, which
+# take time to be added.
 TOO_LARGE_RETRY_S: t.Final = 60.0
 
 
 class StreamForwarder:
-    """One stream, on one engine after another.
+    """Forwards one stream, from one engine at a time.
 
-    :param caller_stream: the answer to the caller.
+    :param caller_stream: the response to the caller.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
         self.backup: decisions.BackendServer | None = None
         self.backup_since = 0.0
         self.copy: calls.RunCopy | None = None
-        # Streams that fail have generated about half of their answer.
+        # Streams that fail have generated about half of their output.
         prompt = job.call.prompt
         self.memory = (
             prompt.tokens + prompt.max_output_tokens // 2 if prompt else 0
@@ -64,7 +65,7 @@
         self.last_segment = segments[-1] if segments else ''
 
     async def run(self) -> calls.Reply | None:
-        """Return a reply, or ``None`` if the answer was streamed.
+        """Return a reply, or ``None`` if the response was streamed.
 
         :raises RequestError: if the stream fails before its first event.
         """
@@ -151,7 +152,7 @@
     ) -> decisions.CapacityEstimate:
         """Estimate how soon engines could serve this stream's prompt.
 
-        :param but: engine to leave out of the estimate.
+        :param excluding: ident of an engine to leave out of the estimate.
         """
         return self.context.placement.estimate_capacity(
             self.job.service,
--- a/src/bulrushhold/routes.py
+++ b/src/bulrushhold/routes.py
@@ -35,8 +35,8 @@
 
     :param targets: services with their weights.
     :param timeout_s: maximum duration of a request.
-    :param aim_s: latency objective for the answer, or for the first event of
-        a stream.
+    :param aim_s: latency objective for the response, or for the first event
+        of a stream.
     :param gap_s: objective for the longest pause between events of a stream.
     :param priority: 0 is the highest.
     :param max_attempts: limit of attempts that may reach a backend server.
@@ -70,9 +70,9 @@
     """A group of interchangeable backend servers.
 
     :param max_connections: limit per backend server, across all entries.
-    :param backups: whether engines keep copies of each other's runs.
+    :param backups: whether engines keep KV cache copies of each other's runs.
     :param slots: concurrent requests per backend server; 0 if unknown.
-    :param memory_tokens: memory of one engine in tokens; 0 for no limit.
+    :param memory_tokens: KV cache capacity of one engine; 0 for no limit.
     """
 
     name: str
@@ -152,7 +152,7 @@
 
 
 class RouteIndex:
-    """Index for lookups in one version of the route map."""
+    """Looks up routes and accounts in one version of the route map."""
 
     def __init__(self, route_map: RouteMap) -> None:
         self.map = route_map
