--- a/src/bulrushhold/emulator/_client.py
+++ b/src/bulrushhold/emulator/_client.py
@@ -132,7 +132,7 @@
     ) -> frozenset[str]:
         """Return the prompt segments in an engine's prefix cache."""
         engine = self.engines[address]
-        await self._connect(engine, 'parts')
+        await self._connect(engine, 'segments')
         return frozenset(engine.cached_segments)
 
     async def copy_run(
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -17,8 +17,8 @@
 # Delay before a second round, after all engines have been tried.
 RETRY_PAUSE_S: t.Final = 0.05
 MIN_REMAINING_S: t.Final = 0.05
-# A prompt that exceeds the memory of all engines needs larger ones, which
-# take time to be added.
+# If a prompt exceeds the memory of all engines, a retry succeeds only after
+# larger ones were added.
 TOO_LARGE_RETRY_S: t.Final = 60.0
 
 
--- a/src/bulrushhold/web/_backends.py
+++ b/src/bulrushhold/web/_backends.py
@@ -99,7 +99,7 @@
         return _HttpBackendResponse(head, response, attempt.address)
 
     async def probe(self, address: str, timeout: float) -> bool:
-        """Request a model engine's status report as a health check."""
+        """Probe an engine; see :meth:`calls.BackendClient.probe`."""
         url = yarl.URL(f'http://{address}{self.dialect.probe_path()}')
         try:
             async with asyncio.timeout(timeout):
@@ -114,7 +114,7 @@
     async def cached_segments(
         self, address: str, timeout: float
     ) -> frozenset[str]:
-        """List cached prompt segments; see :class:`calls.BackendClient`."""
+        """List segments; see :meth:`calls.BackendClient.cached_segments`."""
         url = yarl.URL(f'http://{address}{self.dialect.segments_path()}')
         try:
             async with asyncio.timeout(timeout):
@@ -122,9 +122,9 @@
                     body = await response.read()
                     status = response.status
         except (TimeoutError, *_HTTP_ERRORS) as error:
-            raise _to_backend_error(error, 'parts', address) from error
+            raise _to_backend_error(error, 'segments', address) from error
         if status != 200:
-            raise errors.BackendError(f'status {status}', 'parts', address)
+            raise errors.BackendError(f'status {status}', 'segments', address)
         return self.dialect.decode_segments(body)
 
     async def copy_run(
--- a/tests/forwarding/fakes.py
+++ b/tests/forwarding/fakes.py
@@ -13,13 +13,13 @@
 
 @attrs.define
 class Script:
-    """How an engine answers the next request.
+    """How an engine responds to the next request.
 
     :param events: ids of the events that it sends.
     :param then: what follows the events: ``end``, ``reset``, ``crash``,
         ``silent``, or ``half`` an event and a reset.
     :param error: step at which the request fails, or ``''``.
-    :param open_delay_s: delay before the answer's headers.
+    :param open_delay_s: delay before the response headers.
     """
 
     status: int = 200
@@ -111,7 +111,7 @@
     async def cached_segments(self, address, timeout):
         self.segment_lookups.append(address)
         if address in self.dead:
-            raise errors.BackendError('silent', 'parts', address)
+            raise errors.BackendError('silent', 'segments', address)
         return self.segments_by_address.get(address, frozenset())
 
     async def copy_run(self, call, source, target, timeout):
--- a/tests/test_backend_connections.py
+++ b/tests/test_backend_connections.py
@@ -37,7 +37,7 @@
         return '/report'
 
     def segments_path(self):
-        return '/parts'
+        return '/segments'
 
     def decode_segments(self, body):
         return frozenset(body.decode().split())
