--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -49,8 +49,10 @@
 @pytest.mark.parametrize(
     'fault', [{'matches_request': False}, {'from_backend': False}]
 )
-async def test_a_mismatched_answer_is_never_forwarded(client, context, fault):
-    # Guards against a late answer to another request on a reused connection.
+async def test_a_mismatched_response_is_never_forwarded(
+    client, context, fault
+):
+    # Guards against a late response to another request on a reused connection.
     client.scripts = [
         fakes.Script(body=b'theirs', **fault),
         fakes.Script(body=b'mine'),
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -23,7 +23,7 @@
     assert client.attempts[0].backup
 
 
-async def test_a_broken_stream_resumes_in_the_same_answer(client, context):
+async def test_a_broken_stream_resumes_in_the_same_response(client, context):
     # Guards against partial events, and against two engines that work on one
     # stream at the same time.
     client.scripts = [
@@ -172,8 +172,8 @@
     """Guards against a second prefill if no memory was free at the start."""
     streams = 'bulrushhold.forwarding._streams'
     monkeypatch.setattr(f'{streams}.COPY_AFTER_S', 0.0)
-    flow = 'bulrushhold.forwarding._engine_stream'
-    monkeypatch.setattr(f'{flow}.COPY_RENEWAL_S', 0.05)
+    engine_stream = 'bulrushhold.forwarding._engine_stream'
+    monkeypatch.setattr(f'{engine_stream}.COPY_RENEWAL_S', 0.05)
     capacity = context.placement.capacity
     capacity['engines'] = 9000
     original_chunk = fakes.FakeAnswer.chunk
@@ -346,10 +346,10 @@
         assert not splitter.buffer
 
 
-async def test_an_answer_received_during_a_probe_is_used(client, context):
+async def test_a_response_received_during_a_probe_is_used(client, context):
     """Guards against two engines that work on one stream.
 
-    The answer's headers arrive while a liveness probe fails.
+    The response headers arrive while a liveness probe fails.
     """
     client.scripts = [fakes.Script(events=(1, 2), open_delay_s=0.56)]
     client.probe_delay_s = 0.12
@@ -359,7 +359,7 @@
     assert len(client.attempts) == 1
 
 
-async def test_an_answer_received_after_cancellation_is_closed(
+async def test_a_response_received_after_cancellation_is_closed(
     client, context
 ):
     """Guards against an engine that runs on for a disconnected caller."""
@@ -375,7 +375,7 @@
 
 
 async def test_a_blocked_event_loop_does_not_fail_probes(client):
-    """Guards against a busy process that takes live engines for dead.
+    """Guards against a busy process that reports live engines as dead.
 
     The engine answers at once, but each step of the event loop takes 0.1 s.
     """
--- a/tests/platform/test_fuzzing.py
+++ b/tests/platform/test_fuzzing.py
@@ -197,14 +197,14 @@
 @hypothesis.given(st.lists(st.binary(max_size=60) | st.just(b'id: 3\n\n')))
 def test_event_stream_is_passed_on_unchanged_or_rejected(chunks):
     splitter = forwarding.EventSplitter()
-    out = b''
+    output = b''
     try:
         for chunk in chunks:
-            out += b''.join(event.data for event in splitter.feed(chunk))
+            output += b''.join(event.data for event in splitter.feed(chunk))
     except errors.BackendError as error:
         assert str(error)
     else:
-        assert out + splitter.buffer == b''.join(chunks)
+        assert output + splitter.buffer == b''.join(chunks)
 
 
 @fuzzed
--- a/tests/test_fault_steps.py
+++ b/tests/test_fault_steps.py
@@ -59,7 +59,7 @@
     await draining
 
 
-async def test_an_entry_draining_after_the_last_token_ends_the_answer(
+async def test_an_entry_draining_after_the_last_token_ends_the_stream(
     make_system,
 ):
     # Guards against a missing end marker if the drain starts just before it.
@@ -90,10 +90,11 @@
     assert sum(e.requests for e in system.engines.values()) == 1
 
 
-async def test_an_engine_and_its_entry_killed_before_the_first_token(
+async def test_a_stream_restarts_after_loss_of_its_engine_and_entry(
     make_system,
 ):
-    # Guards against mixed output: the stream restarts at another engine.
+    # Guards against mixed output of two engines. Both are killed before the
+    # first token.
     system = await make_system(entries=3, gap_s=0.3)
     run = start_reading(system)
     engine = await wait_for_dispatch(system)
@@ -105,7 +106,9 @@
     assert not tokens[0].startswith(engine.name)
 
 
-async def test_an_entry_killed_after_the_last_token(make_system):
+async def test_a_stream_completes_if_its_entry_is_killed_after_the_last_token(
+    make_system,
+):
     # Guards against an error if only the end marker is missing: another entry
     # completes the stream without further tokens.
     system = await make_system(entries=3, gap_s=0.05)
