--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -1,4 +1,4 @@
-"""Entries that forward to emulated engines by the production decision code."""
+"""Simulates entries that use the production decisions on emulated engines."""
 
 import asyncio
 import collections.abc as cabc
@@ -59,7 +59,7 @@
     :param arrived_at: time of the first attempt.
     :param completed_at: time of the end of the response.
     :param first_event_s: from the first attempt to the first event.
-    :param refused: the last attempt was rejected without having run.
+    :param refused: the last attempt was refused without having run.
     """
 
     arrived_at: float
--- a/src/bulrushhold/web/_engine.py
+++ b/src/bulrushhold/web/_engine.py
@@ -17,7 +17,6 @@
 FINAL_STATUSES: t.Final = frozenset((400, 413, 422))
 _DATA_PREFIX: t.Final = b'data: '
 
-
 _EVENT_DECODER = msgspec.json.Decoder(ports.Event)
 _REQUEST_ENCODER = msgspec.json.Encoder()
 _HTTP_ERRORS: t.Final = (
