--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -1,4 +1,4 @@
-"""Entries that forward to emulated engines by the production decision code."""
+"""Simulates entries that use the production decisions on emulated engines."""
 
 import asyncio
 import collections.abc as cabc
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class Load:
+class Workload:
     """Arrival rate, request sizes and latency objective of a workload.
 
     :param streams_per_s: mean arrival rate.
@@ -59,7 +59,7 @@
     :param arrived_at: time of the first attempt.
     :param completed_at: time of the end of the response.
     :param first_event_s: from the first attempt to the first event.
-    :param refused: the last attempt was rejected without having run.
+    :param refused: the last attempt was refused without having run.
     """
 
     arrived_at: float
@@ -69,13 +69,13 @@
     completed: bool = False
     refused: bool = False
 
-    def meets_objective(self, load: Load) -> bool:
+    def meets_objective(self, workload: Workload) -> bool:
         """Return whether the response is complete and within the objective."""
         return (
             self.completed
             and self.first_event_s is not None
-            and self.first_event_s <= load.target_latency_s
-            and self.longest_pause_s <= load.max_gap_s
+            and self.first_event_s <= workload.target_latency_s
+            and self.longest_pause_s <= workload.max_gap_s
         )
 
 
@@ -150,9 +150,9 @@
         now = emulated_now()
         traffic = {
             service: attrs.evolve(
-                load, waiting=self.admission.waiting[service]
+                service_traffic, waiting=self.admission.waiting[service]
             )
-            for service, load in self.budget.traffic(now).items()
+            for service, service_traffic in self.budget.traffic(now).items()
         }
         report = self.placement.load_report(self.name, traffic, now)
         self.system.load_aggregator.take(report, now)
@@ -168,7 +168,8 @@
         self.placement.apply_loads(summary, now)
         self.budget.apply_loads(summary.traffic, now)
         waiting = {
-            name: load.waiting for name, load in summary.traffic.items()
+            name: service_traffic.waiting
+            for name, service_traffic in summary.traffic.items()
         }
         self.admission.apply_loads(waiting, now)
 
@@ -245,23 +246,23 @@
         await asyncio.sleep(LIST_LAG_S)
         self.list_engines()
 
-    async def simulate(self, load: Load) -> list[Outcome]:
+    async def simulate(self, workload: Workload) -> list[Outcome]:
         """Generate a workload and return the outcome of each request."""
         callers = []
-        while emulated_now() < load.duration_s:
-            await asyncio.sleep(self.rng.expovariate(load.streams_per_s))
+        while emulated_now() < workload.duration_s:
+            await asyncio.sleep(self.rng.expovariate(workload.streams_per_s))
             segment = f'p{len(callers)}'
             prompt_tokens = self._sample(
-                load.prompt_tokens, load.relative_stddev
+                workload.prompt_tokens, workload.relative_stddev
             )
             self.lengths[segment] = self._sample(
-                load.output_tokens, load.relative_stddev
+                workload.output_tokens, workload.relative_stddev
             )
             outcome = Outcome(emulated_now())
             self.outcomes.append(outcome)
             callers.append(
                 asyncio.ensure_future(
-                    self._run_caller(load, segment, prompt_tokens, outcome)
+                    self._run_caller(workload, segment, prompt_tokens, outcome)
                 )
             )
         await asyncio.gather(*callers)
@@ -272,13 +273,19 @@
         return int(min(1.8 * mean, max(0.2 * mean, sample)))
 
     async def _run_caller(
-        self, load: Load, segment: str, prompt_tokens: int, outcome: Outcome
+        self,
+        workload: Workload,
+        segment: str,
+        prompt_tokens: int,
+        outcome: Outcome,
     ) -> None:
         for attempt in range(2):
-            remaining_s = outcome.arrived_at + load.timeout_s - emulated_now()
+            remaining_s = (
+                outcome.arrived_at + workload.timeout_s - emulated_now()
+            )
             try:
                 await self._send_once(
-                    load,
+                    workload,
                     f'{segment}-{attempt}',
                     segment,
                     prompt_tokens,
@@ -295,7 +302,7 @@
 
     async def _send_once(
         self,
-        load: Load,
+        workload: Workload,
         ident: str,
         segment: str,
         prompt_tokens: int,
@@ -303,11 +310,13 @@
     ) -> None:
         outcome = self.outcomes[int(segment[1:])]
         entry = self.rng.choice(self.entries)
-        prompt = calls.Prompt(prompt_tokens, load.output_tokens, (segment,))
+        prompt = calls.Prompt(
+            prompt_tokens, workload.output_tokens, (segment,)
+        )
         now = emulated_now()
-        job = _make_job(load, ident, prompt, now, remaining_s)
+        job = _make_job(workload, ident, prompt, now, remaining_s)
         entry.budget.count_request(SERVICE, now)
-        run = asyncio.ensure_future(
+        stream_task = asyncio.ensure_future(
             forwarding.StreamForwarder(
                 entry.context, job, _Caller(outcome)
             ).run()
@@ -315,24 +324,25 @@
         # Callers abandon a stream that has no first event, and any stream
         # at its deadline.
         await asyncio.wait(
-            {run},
+            {stream_task},
             timeout=min(
-                remaining_s, FIRST_EVENT_TIMEOUT_FACTOR * load.target_latency_s
+                remaining_s,
+                FIRST_EVENT_TIMEOUT_FACTOR * workload.target_latency_s,
             ),
         )
         if outcome.first_event_s is not None:
             await asyncio.wait(
-                {run}, timeout=now + remaining_s - emulated_now()
+                {stream_task}, timeout=now + remaining_s - emulated_now()
             )
-        if not run.done():
-            run.cancel()
-            await asyncio.wait({run})
+        if not stream_task.done():
+            stream_task.cancel()
+            await asyncio.wait({stream_task})
             return
-        run.result()
+        stream_task.result()
 
 
 def _make_job(
-    load: Load,
+    workload: Workload,
     ident: str,
     prompt: calls.Prompt,
     now: float,
@@ -356,10 +366,10 @@
         '/a/',
         routes.Kind.STREAM,
         [routes.Target(SERVICE, 1.0)],
-        load.timeout_s,
-        load.target_latency_s,
+        workload.timeout_s,
+        workload.target_latency_s,
         max_attempts=5,
         resumable=True,
-        gap_s=load.max_gap_s,
+        gap_s=workload.max_gap_s,
     )
     return forwarding.Job(call, route, SERVICE, 'a', now + remaining_s)
--- a/src/bulrushhold/forwarding/_engine_stream.py
+++ b/src/bulrushhold/forwarding/_engine_stream.py
@@ -20,10 +20,10 @@
 PROBE_INTERVAL_S: t.Final = 0.5
 # Pauses between events are reported in batches.
 PAUSE_REPORT_INTERVAL_S: t.Final = 0.2
-# Standard deviations above the mean that cover most pauses, and nearly all
-# of them (the latter as in RFC 6298).
-COMMON_DEVIATIONS: t.Final = 1.5
-USUAL_DEVIATIONS: t.Final = 4.0
+# Standard deviations above the mean pause: these cover most pauses, and nearly
+# all of them (the latter as in RFC 6298).
+TYPICAL_PAUSE_DEVIATIONS: t.Final = 1.5
+LONG_PAUSE_DEVIATIONS: t.Final = 4.0
 # Engines drop a requested copy that has not been renewed for this long.
 COPY_TTL_S: t.Final = 4.0
 # Short enough for a copy to survive one failed renewal. Tokens generated since
@@ -39,10 +39,10 @@
     :param sent: the request may have reached the engine.
     :param unreachable: the engine crashed or is unreachable; ``False`` if it
         only returned an error.
-    :param reset: the engine broke the connection; so do live engines on
-        errors.
+    :param reset: the engine closed the connection, because of a crash or of
+        an error in a live engine.
     :param seconds: time since the stream was sent to the engine.
-    :param event_id_before: id of the caller's last event at that time.
+    :param event_id_before: id of the last event sent to the caller by then.
     """
 
     sent: bool = True
@@ -52,8 +52,10 @@
     event_id_before: int | None = None
 
 
-def _close_answer(send_task: 'asyncio.Future[calls.BackendAnswer]') -> None:
-    """Close the answer of a cancelled send, if there is one.
+def _close_response(
+    send_task: 'asyncio.Future[calls.BackendResponse]',
+) -> None:
+    """Close the response to a cancelled send, if there is one.
 
     Otherwise the engine would keep generating until the connection is
     garbage-collected.
@@ -63,37 +65,37 @@
 
 
 class EngineStream:
-    """One engine's part of a stream, relayed to the caller."""
+    """The events of a stream that one engine generates."""
 
     def __init__(
         self,
-        run: '_streams.StreamRun',
+        stream: '_streams.StreamForwarder',
         engine: decisions.BackendServer,
         copy: calls.RunCopy | None,
         backup: decisions.BackendServer | None,
-        reading: int,
+        unread_tokens: int,
     ) -> None:
-        self.stream = run
-        self.context = run.context
+        self.stream = stream
+        self.context = stream.context
         self.engine = engine
         self.copy = copy
         self.backup = backup
-        self.reading = reading
-        self.answer: calls.BackendAnswer | None = None
-        self.send_task: asyncio.Future[calls.BackendAnswer] | None = None
+        self.unread_tokens = unread_tokens
+        self.response: calls.BackendResponse | None = None
+        self.send_task: asyncio.Future[calls.BackendResponse] | None = None
         self.received_event = False
         self.renewal: asyncio.Task[None] | None = None
-        self.speeds = run.context.placement.speeds
-        self.started_at = run.context.clock()
+        self.speeds = stream.context.placement.speeds
+        self.started_at = stream.context.clock()
         self.read_sample: decisions.PromptRead | None = None
-        self.expected_first_s = 0.0
+        self.expected_first_event_s = 0.0
         self.pauses_reported_at = self.last_event_at = self.started_at
         self.stall_timeouts = self._make_stall_timeouts()
         self.pauses = decisions.PauseSamples(self.stall_timeouts.long_pause_s)
 
     async def run(self) -> calls.Reply | None:
-        answer = await self._open()
-        head = answer.head
+        response = await self._open()
+        head = response.head
         _context.record_load(self.context, self.engine.ident, head)
         if head.not_run:
             if head.status == 421:
@@ -106,8 +108,8 @@
         if not head.matches_request or not head.from_backend:
             raise StreamLostError('mismatched answer', unreachable=False)
         if head.status >= 300:
-            return await self._failure_reply(answer)
-        await self._relay(answer)
+            return await self._failure_reply(response)
+        await self._relay(response)
         now = self.context.clock()
         self.context.placement.record_success(self.engine.ident, now, None)
         if self.copy is None and self.stream.job.call.last_event_id is None:
@@ -128,13 +130,13 @@
             self.renewal.cancel()
 
     def _cancel_send(
-        self, send_task: 'asyncio.Future[calls.BackendAnswer]'
+        self, send_task: 'asyncio.Future[calls.BackendResponse]'
     ) -> None:
         if send_task.done():
-            _close_answer(send_task)
+            _close_response(send_task)
             return
         send_task.cancel()
-        send_task.add_done_callback(_close_answer)
+        send_task.add_done_callback(_close_response)
 
     async def drop_copy(self) -> None:
         """Free the requested copy after the stream has completed.
@@ -147,7 +149,7 @@
             self.stream.copy = None
             await self.context.client.drop_copy(copy, COPY_RENEWAL_S)
 
-    async def _open(self) -> calls.BackendAnswer:
+    async def _open(self) -> calls.BackendResponse:
         attempt = calls.Attempt(
             self.engine.address,
             self.engine.ident,
@@ -158,7 +160,7 @@
             copy=self.copy,
             # The engine may close an idle connection at any time, which would
             # look like a crash.
-            fresh=True,
+            new_connection=True,
         )
         self.send_task = asyncio.ensure_future(
             self.context.client.send(self.stream.job.call, attempt)
@@ -171,19 +173,22 @@
             if self.send_task.done():
                 break
             self._check_first_event(silence)
-            answered = await self._is_alive(silence)
-            if not answered and not self.send_task.done():
+            alive = await self._is_alive(silence)
+            if not alive and not self.send_task.done():
                 raise StreamLostError(NO_PROBE_ANSWER)
         try:
-            self.answer = self.send_task.result()
+            self.response = self.send_task.result()
         except errors.BackendError as error:
             sent = error.step != 'connect'
             raise StreamLostError(str(error), sent=sent, reset=sent) from error
-        return self.answer
+        return self.response
 
     def _expect_first_event(self) -> None:
         """Record when the first event is expected."""
-        if not self.reading or self.stream.job.call.last_event_id is not None:
+        if (
+            not self.unread_tokens
+            or self.stream.job.call.last_event_id is not None
+        ):
             # A resumed prompt may be cached, which would distort the speed.
             return
         now = self.context.clock()
@@ -193,7 +198,7 @@
             service, self.engine.ident, tokens, now
         )
         token_s = self.speeds.token_s(service, self.stream.objective, now)
-        self.expected_first_s = tokens * token_s
+        self.expected_first_event_s = tokens * token_s
 
     def _check_first_event(self, silence: _liveness.SilenceTimer) -> None:
         waited = silence.seconds
@@ -203,7 +208,7 @@
             )
         elsewhere_s = self.stream.estimate_capacity(self.engine.ident).first_s
         if waited > decisions.first_event_timeout_s(
-            self.expected_first_s, elsewhere_s
+            self.expected_first_event_s, elsewhere_s
         ):
             raise StreamLostError(
                 f'no first event after {waited:.2f} s', unreachable=False
@@ -215,12 +220,14 @@
                 self.context.client, self.engine.address
             )
 
-    async def _failure_reply(self, answer: calls.BackendAnswer) -> calls.Reply:
+    async def _failure_reply(
+        self, response: calls.BackendResponse
+    ) -> calls.Reply:
         try:
-            body = await answer.body()
+            body = await response.body()
         except errors.BackendError as error:
             raise StreamLostError(str(error), unreachable=False) from error
-        head = answer.head
+        head = response.head
         reply = calls.Reply(head.status, head.headers, body)
         if head.status < 500 or not self.stream.job.route.repeatable:
             return reply
@@ -229,23 +236,23 @@
             f'failed with status {head.status}', unreachable=False
         )
 
-    async def _relay(self, answer: calls.BackendAnswer) -> None:
+    async def _relay(self, response: calls.BackendResponse) -> None:
         splitter = _events.EventSplitter()
         while True:
-            chunk = await self._next_chunk(answer)
+            chunk = await self._next_chunk(response)
             if not chunk:
                 break
             try:
                 events = splitter.feed(chunk)
             except errors.BackendError as error:
                 raise StreamLostError(str(error), unreachable=False) from error
-            await self._forward_new_events(answer, events)
+            await self._forward_new_events(response, events)
             self._ensure_copy()
         if splitter.buffer:
             raise StreamLostError('incomplete last event', unreachable=False)
         if not self.stream.caller_stream.headers_sent:
             await self.stream.caller_stream.send_headers(
-                answer.head.status, answer.head.headers
+                response.head.status, response.head.headers
             )
         await self.stream.caller_stream.end()
 
@@ -308,7 +315,7 @@
         _context.log(stream.job, 'copy requested', at=target.ident)
 
     async def _forward_new_events(
-        self, answer: calls.BackendAnswer, events: list[_events.Event]
+        self, response: calls.BackendResponse, events: list[_events.Event]
     ) -> None:
         """Forward the events that directly follow the caller's last one."""
         data = b''
@@ -325,11 +332,13 @@
                 self.stream.last_event_id = event.event_id
             data += event.data
         if data:
-            await self._forward(answer, data)
+            await self._forward(response, data)
         if gap:
             raise StreamLostError(gap, unreachable=False)
 
-    async def _forward(self, answer: calls.BackendAnswer, data: bytes) -> None:
+    async def _forward(
+        self, response: calls.BackendResponse, data: bytes
+    ) -> None:
         now = self.context.clock()
         if self.received_event:
             self.pauses.add(now - self.last_event_at)
@@ -342,8 +351,8 @@
                 self.speeds.record_read(
                     self.read_sample, self.stream.objective, now
                 )
-            self.context.placement.prompt_read(self.engine, self.reading)
-            self.reading = 0
+            self.context.placement.prompt_read(self.engine, self.unread_tokens)
+            self.unread_tokens = 0
             self.stream.record_resumption(self.engine.ident)
             self.context.placement.record_read(
                 self.stream.last_segment, self.engine.ident, now
@@ -351,12 +360,12 @@
         caller_stream = self.stream.caller_stream
         if not caller_stream.headers_sent:
             await caller_stream.send_headers(
-                answer.head.status, answer.head.headers
+                response.head.status, response.head.headers
             )
         self.stream.record_event_sent()
         await caller_stream.write(data)
 
-    async def _next_chunk(self, answer: calls.BackendAnswer) -> bytes:
+    async def _next_chunk(self, response: calls.BackendResponse) -> bytes:
         silence = _liveness.SilenceTimer(self.context.clock)
         while True:
             probe_after_s = (
@@ -369,13 +378,13 @@
                 silence.measure(probe_after_s),
             ):
                 async with asyncio.timeout(probe_after_s):
-                    return await self._read(answer)
+                    return await self._read(response)
             if self.received_event:
                 self._check_stall(silence)
             else:
                 self._check_first_event(silence)
             if not await self._is_alive(silence):
-                return await self._read_buffered(answer)
+                return await self._read_buffered(response)
 
     def _check_stall(self, silence: _liveness.SilenceTimer) -> None:
         stalled_s = silence.seconds
@@ -387,11 +396,11 @@
                 f'stalled for {stalled_s:.2f} s', unreachable=False
             )
 
-    async def _read_buffered(self, answer: calls.BackendAnswer) -> bytes:
+    async def _read_buffered(self, response: calls.BackendResponse) -> bytes:
         """Return what arrived during a failed probe, without waiting."""
         try:
             async with asyncio.timeout(0):
-                return await self._read(answer)
+                return await self._read(response)
         except TimeoutError:
             raise StreamLostError(NO_PROBE_ANSWER) from None
 
@@ -409,21 +418,21 @@
 
     def _make_stall_timeouts(self) -> decisions.StallTimeouts:
         objective = self.stream.objective
-        common, usual = (
+        typical_s, long_s = (
             self.speeds.pause_s(
                 self.stream.job.service,
                 objective,
                 self.context.clock(),
                 deviations,
             )
-            for deviations in (COMMON_DEVIATIONS, USUAL_DEVIATIONS)
+            for deviations in (TYPICAL_PAUSE_DEVIATIONS, LONG_PAUSE_DEVIATIONS)
         )
         return decisions.StallTimeouts(
-            common, usual, objective.gap_s, _liveness.PROBE_TIMEOUT_S
+            typical_s, long_s, objective.gap_s, _liveness.PROBE_TIMEOUT_S
         )
 
-    async def _read(self, answer: calls.BackendAnswer) -> bytes:
+    async def _read(self, response: calls.BackendResponse) -> bytes:
         try:
-            return await answer.chunk()
+            return await response.chunk()
         except errors.BackendError as error:
             raise StreamLostError(str(error), reset=True) from error
--- a/src/bulrushhold/web/_backends.py
+++ b/src/bulrushhold/web/_backends.py
@@ -26,10 +26,10 @@
 _HTTP_ERRORS: t.Final = (aiohttp.ClientError, OSError, ValueError)
 
 
-class _HttpBackendAnswer(calls.BackendAnswer):
+class _HttpBackendResponse(calls.BackendResponse):
     def __init__(
         self,
-        head: calls.AnswerHead,
+        head: calls.ResponseHead,
         response: aiohttp.ClientResponse,
         address: str,
     ) -> None:
@@ -68,9 +68,9 @@
 
     async def send(
         self, call: calls.Call, attempt: calls.Attempt
-    ) -> calls.BackendAnswer:
+    ) -> calls.BackendResponse:
         """Send a call; see :meth:`calls.BackendClient.send`."""
-        session = self.unpooled if attempt.fresh else self.pooled
+        session = self.unpooled if attempt.new_connection else self.pooled
         url = yarl.URL(f'http://{attempt.address}{call.target}', encoded=True)
         try:
             response = await session.request(
@@ -93,11 +93,13 @@
             ) from error
         except _HTTP_ERRORS as error:
             raise _to_backend_error(error, 'send', attempt.address) from error
-        head = self.dialect.read_head(call, response.status, response.headers)
-        return _HttpBackendAnswer(head, response, attempt.address)
+        head = self.dialect.decode_head(
+            call, response.status, response.headers
+        )
+        return _HttpBackendResponse(head, response, attempt.address)
 
     async def probe(self, address: str, timeout: float) -> bool:
-        """Request a model engine's status report as a health check."""
+        """Probe an engine; see :meth:`calls.BackendClient.probe`."""
         url = yarl.URL(f'http://{address}{self.dialect.probe_path()}')
         try:
             async with asyncio.timeout(timeout):
@@ -112,7 +114,7 @@
     async def cached_segments(
         self, address: str, timeout: float
     ) -> frozenset[str]:
-        """List cached prompt segments; see :class:`calls.BackendClient`."""
+        """List segments; see :meth:`calls.BackendClient.cached_segments`."""
         url = yarl.URL(f'http://{address}{self.dialect.segments_path()}')
         try:
             async with asyncio.timeout(timeout):
@@ -120,9 +122,9 @@
                     body = await response.read()
                     status = response.status
         except (TimeoutError, *_HTTP_ERRORS) as error:
-            raise _to_backend_error(error, 'parts', address) from error
+            raise _to_backend_error(error, 'segments', address) from error
         if status != 200:
-            raise errors.BackendError(f'status {status}', 'parts', address)
+            raise errors.BackendError(f'status {status}', 'segments', address)
         return self.dialect.decode_segments(body)
 
     async def copy_run(
@@ -137,13 +139,15 @@
                     data=body,
                     headers={'Content-Type': 'application/json'},
                 ) as response:
-                    answer = await response.read()
+                    response_body = await response.read()
                     status = response.status
         except (TimeoutError, *_HTTP_ERRORS) as error:
             raise _to_backend_error(error, 'copy', source) from error
         if status != 200:
             raise errors.BackendError(f'status {status}', 'copy', source)
-        return calls.RunCopy(source, self.dialect.read_copy(answer))
+        return calls.RunCopy(
+            source, self.dialect.decode_copy_name(response_body)
+        )
 
     async def drop_copy(self, copy: calls.RunCopy, timeout: float) -> None:
         """Delete a copy; see :meth:`calls.BackendClient.drop_copy`."""
--- a/tests/platform/test_fuzzing.py
+++ b/tests/platform/test_fuzzing.py
@@ -152,7 +152,7 @@
 @hypothesis.given(BODY | DEEPLY_NESTED)
 def test_cache_response_is_decoded_or_rejected(body):
     engines = _enginedialect.PlatformEngineDialect()
-    for decode in (engines.decode_segments, engines.read_copy):
+    for decode in (engines.decode_segments, engines.decode_copy_name):
         try:
             decode(body)
         except errors.BackendError as error:
@@ -182,7 +182,7 @@
 def test_request_headers_are_decoded_or_rejected(headers):
     headers = {'Bulrushhold-Request-Id': 'r', **headers}
     try:
-        call = _callerdialect.PlatformCallerDialect().read_call(
+        call = _callerdialect.PlatformCallerDialect().decode_call(
             'POST', '/a', multidict.CIMultiDict(headers), b''
         )
     except errors.RequestError as error:
@@ -197,14 +197,14 @@
 @hypothesis.given(st.lists(st.binary(max_size=60) | st.just(b'id: 3\n\n')))
 def test_event_stream_is_passed_on_unchanged_or_rejected(chunks):
     splitter = forwarding.EventSplitter()
-    out = b''
+    output = b''
     try:
         for chunk in chunks:
-            out += b''.join(event.data for event in splitter.feed(chunk))
+            output += b''.join(event.data for event in splitter.feed(chunk))
     except errors.BackendError as error:
         assert str(error)
     else:
-        assert out + splitter.buffer == b''.join(chunks)
+        assert output + splitter.buffer == b''.join(chunks)
 
 
 @fuzzed
--- a/tests/test_backend_connections.py
+++ b/tests/test_backend_connections.py
@@ -21,8 +21,8 @@
     def request_headers(self, call, attempt):
         return [*call.headers, ('Host', call.host)]
 
-    def read_head(self, call, status, headers):
-        return calls.AnswerHead(status, (), True, True, False)
+    def decode_head(self, call, status, headers):
+        return calls.ResponseHead(status, (), True, True, False)
 
     def copy_request(self, call, target):
         return '/copy', b''
@@ -30,14 +30,14 @@
     def drop_path(self, copy):
         return '/copy'
 
-    def read_copy(self, body):
+    def decode_copy_name(self, body):
         return ''
 
     def probe_path(self):
         return '/report'
 
     def segments_path(self):
-        return '/parts'
+        return '/segments'
 
     def decode_segments(self, body):
         return frozenset(body.decode().split())
@@ -90,11 +90,15 @@
     await created.close()
 
 
-async def send_request(client, server, target='/a', method='GET', fresh=False):
+async def send_request(
+    client, server, target='/a', method='GET', new_connection=False
+):
     call = calls.Call('r', method, target, 'h', '', (), b'', 1.0)
-    attempt = calls.Attempt(server.address, 'i', '', 1.0, fresh=fresh)
-    answer = await client.send(call, attempt)
-    return await answer.body()
+    attempt = calls.Attempt(
+        server.address, 'i', '', 1.0, new_connection=new_connection
+    )
+    response = await client.send(call, attempt)
+    return await response.body()
 
 
 @pytest.mark.parametrize('late', [False, True])
@@ -155,5 +159,5 @@
             address=f'127.0.0.1:{unused.getsockname()[1]}'
         )
     with pytest.raises(errors.BackendError) as exc_info:
-        await send_request(client, unreachable, fresh=True)
+        await send_request(client, unreachable, new_connection=True)
     assert exc_info.value.step == 'connect'
