--- a/bench/scaling.py
+++ b/bench/scaling.py
@@ -114,7 +114,7 @@
         )
         placement_costs[count] = cost_us(
             lambda p=placement, n=numbers: p.choose_engine(
-                's', 0.0, tokens=8000, part=str(next(n)), tried=set()
+                's', 0.0, tokens=8000, segment=str(next(n)), tried=set()
             )
         )
     print_costs(
--- a/src/bulrushhold/decisions/_backendpool.py
+++ b/src/bulrushhold/decisions/_backendpool.py
@@ -305,19 +305,19 @@
             self.pending_replaced.append(ident)
             self.on_load_change()
 
-    def record_read(self, part: str, ident: str, now: float) -> None:
+    def record_read(self, segment: str, ident: str, now: float) -> None:
         """Record that an engine has read and cached a prompt.
 
         :param segment: last segment of the prompt, or ``''`` if unknown.
         """
-        if part:
-            self.cached_prompts[part] = (ident, now)
-            self.cached_prompts.move_to_end(part)
+        if segment:
+            self.cached_prompts[segment] = (ident, now)
+            self.cached_prompts.move_to_end(segment)
             while len(self.cached_prompts) > MAX_CACHED_PROMPTS:
                 self.cached_prompts.popitem(last=False)
 
-    def engine_with_prompt(self, part: str, now: float) -> str:
-        ident, at = self.cached_prompts.get(part, ('', 0.0))
+    def engine_with_prompt(self, segment: str, now: float) -> str:
+        ident, at = self.cached_prompts.get(segment, ('', 0.0))
         return ident if now - at < CACHED_PROMPT_TTL_S else ''
 
     def _sample_failure(
--- a/src/bulrushhold/decisions/_placement.py
+++ b/src/bulrushhold/decisions/_placement.py
@@ -57,13 +57,13 @@
 STALE_AFTER_S: t.Final = 0.5
 
 
-def _exponential_jitter(part: str, ident: str) -> float:
+def _exponential_jitter(segment: str, ident: str) -> float:
     """Return a pseudorandom value, exponentially distributed with mean 1.
 
     It depends only on the arguments, so that all entries compute the same
     value and a retry reaches the engine that has its prompt cached.
     """
-    draw = xxhash.xxh64_intdigest(f'{ident}/{part}'.encode()) / 2**64
+    draw = xxhash.xxh64_intdigest(f'{ident}/{segment}'.encode()) / 2**64
     return -math.log1p(-draw)
 
 
@@ -105,7 +105,7 @@
         now: float,
         *,
         tokens: int,
-        part: str,
+        segment: str,
         tried: set[str],
         avoid_data_centre: str = '',
     ) -> _backendserver.BackendServer | None:
@@ -119,8 +119,8 @@
             cached needn't read the prompt again.
         :param avoid_data_centre: data centre that just lost this stream.
         """
-        cached = self.engine_with_prompt(part, now)
-        ranks = self._affinity_ranks(service, part, tried)
+        cached = self.engine_with_prompt(segment, now)
+        ranks = self._affinity_ranks(service, segment, tried)
         prompt_tokens = max(1, tokens)
 
         def wait(backend: _backendserver.BackendServer) -> float:
@@ -158,23 +158,23 @@
 
         def jittered_wait(backend: _backendserver.BackendServer) -> float:
             return wait(backend) + jitter_prompts * _exponential_jitter(
-                part, backend.ident
+                segment, backend.ident
             )
 
         return self._best(service, now, tried, jittered_wait)
 
     def likely_cache_holders(
-        self, service: str, part: str, now: float
+        self, service: str, segment: str, now: float
     ) -> list[_backendserver.BackendServer]:
         """Return the engines that may have a prompt cached.
 
         Empty if the engine that has it is known, or without a segment.
         """
-        if not part or self.engine_with_prompt(part, now):
+        if not segment or self.engine_with_prompt(segment, now):
             return []
         return [
             backend
-            for ident in self._affinity_ranks(service, part, set())
+            for ident in self._affinity_ranks(service, segment, set())
             if (backend := self.backends[ident]).ejected_until <= now
         ]
 
@@ -346,20 +346,20 @@
         return min(untried, key=lambda b: b.ejected_until)
 
     def _affinity_ranks(
-        self, service: str, part: str, tried: set[str]
+        self, service: str, segment: str, tried: set[str]
     ) -> dict[str, int]:
         """Return the ranks of the engines preferred for a prompt.
 
         Uses rendezvous hashing of its last segment.
         """
-        if not part:
-            part = str(self.rng.random())
+        if not segment:
+            segment = str(self.rng.random())
         idents = [b.ident for b in self.usable(service)]
         preferred = heapq.nlargest(
             AFFINITY_CANDIDATES,
             (ident for ident in idents if ident not in tried),
             key=lambda ident: xxhash.xxh64_intdigest(
-                f'{part}/{ident}'.encode()
+                f'{segment}/{ident}'.encode()
             ),
         )
         return {ident: rank for rank, ident in enumerate(preferred)}
--- a/src/bulrushhold/forwarding/_streams.py
+++ b/src/bulrushhold/forwarding/_streams.py
@@ -187,7 +187,7 @@
             self.job.service,
             now,
             tokens=self.tokens,
-            part=self.last_segment,
+            segment=self.last_segment,
             tried=self.tried,
             avoid_data_centre=self.lost_data_centre,
         )
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -179,7 +179,7 @@
             ):
                 continue
             chosen = placement.choose_engine(
-                's', now, tokens=PROMPT, part=str(stream['at']), tried=set()
+                's', now, tokens=PROMPT, segment=str(stream['at']), tried=set()
             )
             simulated[chosen.ident].queue.append(stream)
             chosen.reading += PROMPT
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -19,9 +19,9 @@
     return placement
 
 
-def choose_engine(placement, now=0.0, tried=(), part=''):
+def choose_engine(placement, now=0.0, tried=(), segment=''):
     return placement.choose_engine(
-        'engines', now, tokens=8000, part=part, tried=set(tried)
+        'engines', now, tokens=8000, segment=segment, tried=set(tried)
     )
 
 
@@ -113,9 +113,9 @@
 def test_requests_prefer_the_engine_that_has_cached_their_prompt():
     placement = make_placement()
     placement.record_read('session-7', 'i4', 0.0)
-    assert choose_engine(placement, now=1.0, part='session-7').ident == 'i4'
+    assert choose_engine(placement, now=1.0, segment='session-7').ident == 'i4'
     placement.stream_started(placement.backends['i4'], 30000)
-    assert choose_engine(placement, now=1.0, part='session-7').ident != 'i4'
+    assert choose_engine(placement, now=1.0, segment='session-7').ident != 'i4'
 
 
 def test_a_partly_failing_server_gets_no_at_most_once_requests():
@@ -245,7 +245,7 @@
         busy = messages.EngineLoad(0, 2, 20_000)
         loads = {f'i{n}': busy for n in range(6, 60)}
         placement.apply_loads(messages.LoadSummary(1, loads, []), 0.0)
-        ident = choose_engine(placement, part=f'session-{entry}').ident
+        ident = choose_engine(placement, segment=f'session-{entry}').ident
         counts[ident] = counts.get(ident, 0) + 1
     assert max(counts.values()) <= 40
 
@@ -276,7 +276,7 @@
             placement = make_placement(engines, seed=100 * draw + number)
             placement.apply_loads(messages.LoadSummary(1, loads, lost), 0.0)
             ident = choose_engine(
-                placement, 0.01, part=f'{draw}-{number}'
+                placement, 0.01, segment=f'{draw}-{number}'
             ).ident
             assigned[ident] = assigned.get(ident, 0) + 1
             ahead += assigned[ident] + loads[ident].reading / 8000
@@ -291,18 +291,19 @@
             make_placement(engines=18),
             make_placement(engines=18, seed=9),
         )
-        part = f'session-{number}'
+        segment = f'session-{number}'
         busy = {
             f'i{n}': messages.EngineLoad(0, (n * number) % 4, 0)
             for n in range(18)
         }
         first.apply_loads(messages.LoadSummary(1, busy, []), 0.0)
-        engine = choose_engine(first, part=part)
-        holders = second.likely_cache_holders('engines', part, 1.0)
+        engine = choose_engine(first, segment=segment)
+        holders = second.likely_cache_holders('engines', segment, 1.0)
         assert engine.ident in {holder.ident for holder in holders}
-        second.record_read(part, engine.ident, 1.0)
+        second.record_read(segment, engine.ident, 1.0)
         reached_cache += (
-            choose_engine(second, now=1.0, part=part).ident == engine.ident
+            choose_engine(second, now=1.0, segment=segment).ident
+            == engine.ident
         )
     assert reached_cache == 40
 
@@ -315,6 +316,6 @@
     full = {i: messages.EngineLoad(0, 5, 85_000) for i in ranks}
     placement.apply_loads(messages.LoadSummary(1, full, []), 0.0)
     chosen = placement.choose_engine(
-        'engines', 0.0, tokens=8000, part='p', tried=set()
+        'engines', 0.0, tokens=8000, segment='p', tried=set()
     )
     assert chosen.ident not in ranks
