--- a/src/bulrushhold/decisions/_admissioncontrol.py
+++ b/src/bulrushhold/decisions/_admissioncontrol.py
@@ -60,7 +60,7 @@
     :param ready_engines: engines that can meet the aim of one more prompt.
     """
 
-    first_s: float
+    first_event_s: float
     idle: bool
     engines: int
     completions_per_s: float
@@ -96,7 +96,7 @@
         estimate: CapacityEstimate,
         *,
         waited_s: float,
-        left_s: float,
+        remaining_s: float,
         aim_s: float,
         queue_s: float,
         first_check: bool = False,
@@ -114,15 +114,15 @@
         if not estimate.engines or not aim_s:
             # No healthy engine, or no aim to compare the wait with.
             return AdmissionDecision.PLACE
-        total_s = estimate.first_s + estimate.min_output_s
-        if not begun and left_s < total_s < float('inf'):
+        total_s = estimate.first_event_s + estimate.min_output_s
+        if not begun and remaining_s < total_s < float('inf'):
             return AdmissionDecision.REFUSE
         if (
             not begun
-            and waited_s + FIRST_EVENT_MARGIN * estimate.first_s <= aim_s
+            and waited_s + FIRST_EVENT_MARGIN * estimate.first_event_s <= aim_s
         ):
             return AdmissionDecision.PLACE
-        max_wait_s = min(MAX_WAIT_AIMS * aim_s, left_s)
+        max_wait_s = min(MAX_WAIT_AIMS * aim_s, remaining_s)
         if estimate.idle and (estimate.headroom or waited_s >= max_wait_s / 2):
             return AdmissionDecision.PLACE
         if waited_s >= max_wait_s:
--- a/src/bulrushhold/decisions/_placement.py
+++ b/src/bulrushhold/decisions/_placement.py
@@ -277,7 +277,7 @@
             and b.ident != excluding
             and not self.health_penalty(b, now)
         ]
-        first_s = float('inf')
+        first_event_s = float('inf')
         idle = False
         with_room = ready_engines = 0
         for backend in healthy:
@@ -285,7 +285,7 @@
                 continue
             others = self.current_remote_load(backend, now).reading
             reading = backend.reading + others + tokens
-            first_s = min(first_s, reading * token_s)
+            first_event_s = min(first_event_s, reading * token_s)
             with_room += 1
             ready_engines += reading * token_s <= objective.aim_s
             nearly_idle = reading * token_s <= IDLE_AIM_SHARE * objective.aim_s
@@ -295,7 +295,7 @@
         )
         run_s = self.speeds.run_s(service, now) or 0.0
         return _admissioncontrol.CapacityEstimate(
-            first_s,
+            first_event_s,
             idle,
             len(healthy),
             len(healthy) * engine_rate,
--- a/src/bulrushhold/forwarding/_admission.py
+++ b/src/bulrushhold/forwarding/_admission.py
@@ -48,7 +48,7 @@
             outcome = admission.decide(
                 estimate,
                 waited_s=now - waiting_since,
-                left_s=job.deadline - now,
+                remaining_s=job.deadline - now,
                 aim_s=job.route.aim_s,
                 queue_s=queue_s,
                 first_check=now == started,
@@ -77,7 +77,7 @@
             'stream queued',
             seconds=round(now - started, 3),
             outcome=outcome.value,
-            first_s=round(estimate.first_s, 2),
+            first_s=round(estimate.first_event_s, 2),
             engines=estimate.engines,
             waiting=admission.waiting[service],
         )
--- a/src/bulrushhold/forwarding/_engine_stream.py
+++ b/src/bulrushhold/forwarding/_engine_stream.py
@@ -206,7 +206,9 @@
             raise StreamLostError(
                 'no event before the deadline', unreachable=False
             )
-        elsewhere_s = self.stream.estimate_capacity(self.engine.ident).first_s
+        elsewhere_s = self.stream.estimate_capacity(
+            self.engine.ident
+        ).first_event_s
         if waited > decisions.first_event_timeout_s(
             self.expected_first_event_s, elsewhere_s
         ):
@@ -407,7 +409,9 @@
     def _stall_timeout_s(self) -> float:
         if self._has_copy():
             return self.stall_timeouts.failover_timeout_s()
-        elsewhere_s = self.stream.estimate_capacity(self.engine.ident).first_s
+        elsewhere_s = self.stream.estimate_capacity(
+            self.engine.ident
+        ).first_event_s
         return self.stall_timeouts.reread_timeout_s(elsewhere_s)
 
     def _report_pauses(self, now: float) -> None:
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -26,18 +26,18 @@
 
 
 def decide(
-    first_s, *, idle=False, waited=0.0, left=25.0, waiting=0, engines=9
+    first_event_s, *, idle=False, waited=0.0, left=25.0, waiting=0, engines=9
 ):
     admission = decisions.AdmissionController()
     admission.waiting['s'] = waiting
     completions_per_s = 0.7 * engines
     estimate = decisions.CapacityEstimate(
-        first_s, idle, engines, completions_per_s
+        first_event_s, idle, engines, completions_per_s
     )
     return admission.decide(
         estimate,
         waited_s=waited,
-        left_s=left,
+        remaining_s=left,
         aim_s=AIM_S,
         queue_s=admission.queue_s('s', estimate, 9, 0.0),
         first_check=not waited,
@@ -162,7 +162,7 @@
             decision = admission.decide(
                 estimate,
                 waited_s=now - stream['at'],
-                left_s=25.0,
+                remaining_s=25.0,
                 aim_s=AIM_S,
                 queue_s=queue_s,
                 first_check=stream['at'] == now,
@@ -279,12 +279,12 @@
     current = placement.estimate_capacity(
         's', 0.1, objective=OBJECTIVE, memory=MEMORY
     )
-    assert current.first_s == float('inf')
+    assert current.first_event_s == float('inf')
     later = placement.estimate_capacity(
         's', 10.0, objective=OBJECTIVE, memory=MEMORY
     )
     assert later.idle
-    assert later.first_s < AIM_S
+    assert later.first_event_s < AIM_S
 
 
 async def test_a_prompt_too_large_for_any_engine_is_refused_at_once(
