--- a/bench/scaling.py
+++ b/bench/scaling.py
@@ -132,9 +132,12 @@
         report = placement.load_report('e0', {}, 0.0)
         for number in range(count):
             entry_report = attrs.evolve(report, entry=f'e{number}')
-            loads.take(entry_report, 0.0)
+            loads.add_report(entry_report, 0.0)
         report_costs[count] = cost_us(
-            lambda b=loads, s=report: (b.take(s, 0.0), b.summary_for('e1', 0))
+            lambda b=loads, s=report: (
+                b.add_report(s, 0.0),
+                b.summary_for('e1', 0),
+            )
         )
     print_costs('load report at the leader, by entries', report_costs, 'us')
     speeds = decisions.EngineSpeeds()
--- a/src/bulrushhold/control/_watch.py
+++ b/src/bulrushhold/control/_watch.py
@@ -130,7 +130,7 @@
     async def _on_load_report(
         self, report: messages.LoadReport
     ) -> messages.Received:
-        if self.loads.take(report, self.clock()):
+        if self.loads.add_report(report, self.clock()):
             node.log_decision(
                 'engines lost',
                 engines=report.lost,
@@ -167,7 +167,7 @@
             now = self.clock()
             expired = self.registry.expire(now)
             for name in expired:
-                self.loads.forget(name)
+                self.loads.remove_report(name)
             if expired:
                 node.log_decision('entries expired', entries=expired)
                 self._run_attach_hooks()
--- a/src/bulrushhold/decisions/_loadaggregator.py
+++ b/src/bulrushhold/decisions/_loadaggregator.py
@@ -105,7 +105,7 @@
 
     # Receiving
 
-    def take(self, report: messages.LoadReport, now: float) -> bool:
+    def add_report(self, report: messages.LoadReport, now: float) -> bool:
         """Add an entry's report; return whether it contains new events."""
         self.number += 1
         existing = self.reports.get(report.entry)
@@ -118,7 +118,7 @@
         )
         return self._add_events(report, now, local=True)
 
-    def forget(self, entry: str) -> None:
+    def remove_report(self, entry: str) -> None:
         """Remove the report of an entry that has left."""
         if self.reports.pop(entry, None):
             self.number += 1
--- a/src/bulrushhold/emulator/_system.py
+++ b/src/bulrushhold/emulator/_system.py
@@ -155,7 +155,7 @@
             for service, service_traffic in self.budget.traffic(now).items()
         }
         report = self.placement.load_report(self.name, traffic, now)
-        self.system.load_aggregator.take(report, now)
+        self.system.load_aggregator.add_report(report, now)
         for entry in self.system.entries:
             entry.apply_load_summary(now)
 
--- a/tests/forwarding/test_poison_requests.py
+++ b/tests/forwarding/test_poison_requests.py
@@ -72,7 +72,7 @@
         report = messages.LoadReport(
             f'e{number}', {}, [], crashes=detector.take_pending()
         )
-        loads.take(report, 10.0)
+        loads.add_report(report, 10.0)
         receiver.add_reports(loads.summary_for('e9', 0).crashes, 10.0)
         assert bool(receiver.remaining_block_s('bad', 10.0)) == (number == 2)
     assert detector.take_pending() == []
--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -49,7 +49,7 @@
         placement = decisions.Placement(None)
         add_reads(placement.speeds, 3.0, 0.0)
         placement.speeds.record_run('s', 9.0, 3.0)
-        loads.take(placement.load_report(f'e{number}', {}, 3.0), 3.0)
+        loads.add_report(placement.load_report(f'e{number}', {}, 3.0), 3.0)
     combined = decisions.EngineSpeeds()
     combined.apply_remote_samples(loads.summary_for('e99', 0).speeds)
     assert 8000 * combined.token_s('s', OBJECTIVE, 3.0) > 2.7
--- a/tests/test_loadreports.py
+++ b/tests/test_loadreports.py
@@ -70,7 +70,9 @@
 def test_a_summary_is_the_sum_of_all_other_entries(network):
     for number, name in enumerate(network.nodes):
         node = network.nodes[name]
-        node.take(report(f'e{number}', 'i1', f'i{number}-own'), network.now)
+        node.add_report(
+            report(f'e{number}', 'i1', f'i{number}-own'), network.now
+        )
     network.exchange()
     for number, name in enumerate(network.nodes):
         summary = network.summary(name, f'e{number}')
@@ -83,7 +85,7 @@
     """Guards against events that reach only some data centres."""
     network = Network(5, seed, loss=0.5)
     network.exchange(5)
-    network.nodes['n0'].take(
+    network.nodes['n0'].add_report(
         report('e1', lost=['i1'], replaced=['i2'], crashes=[CRASH]),
         network.now,
     )
@@ -97,20 +99,20 @@
 
 def test_acknowledged_events_are_not_sent_again(network):
     network.exchange(2)
-    network.nodes['n0'].take(report('e1', lost=['i1']), network.now)
+    network.nodes['n0'].add_report(report('e1', lost=['i1']), network.now)
     network.exchange(3)
     assert network.nodes['n0'].node_load(network.now).sum.lost == []
 
 
 def test_an_event_after_a_process_restart_is_new(network):
     """Guards against ignored events: a restart resets their numbers."""
-    network.nodes['n0'].take(report('e1', 'i1'), network.now)
+    network.nodes['n0'].add_report(report('e1', 'i1'), network.now)
     for number in range(9):
-        network.nodes['n0'].take(report('e1', f'i{number}'), network.now)
+        network.nodes['n0'].add_report(report('e1', f'i{number}'), network.now)
     network.exchange(2)
     known_number = network.summary('n1').number
     network.start('n0')
-    network.nodes['n0'].take(report('e1', lost=['i7']), network.now)
+    network.nodes['n0'].add_report(report('e1', lost=['i7']), network.now)
     network.exchange(2)
     assert network.summary('n1', since=known_number).lost == ['i7']
 
@@ -120,7 +122,7 @@
 ):
     """Guards against prompts for engines that only seem to be idle."""
     for number, name in enumerate(network.nodes):
-        network.nodes[name].take(report(f'e{number}', 'i1'), 0.0)
+        network.nodes[name].add_report(report(f'e{number}', 'i1'), 0.0)
     network.exchange(4)
     network.partitioned = {'n0'}
     network.exchange(20)
@@ -147,7 +149,7 @@
         network = Network(5)
         for number in range(entries):
             node = network.nodes[f'n{number % 5}']
-            node.take(report(f'e{number}', 'i1'), 0.0)
+            node.add_report(report(f'e{number}', 'i1'), 0.0)
         network.exchange(10)
         counts.append(network.sent)
         size = len(messages.encode(network.nodes['n0'].node_load(0.0)))
@@ -171,9 +173,9 @@
     def start_stream(self, entry, engine, at):
         name = f'e{entry}'
         for node in self.network.nodes.values():
-            node.forget(name)
+            node.remove_report(name)
         self.engine_by_entry[name] = f'i{engine}'
-        self.network.nodes[f'n{at}'].take(
+        self.network.nodes[f'n{at}'].add_report(
             report(name, f'i{engine}'), self.network.now
         )
 
@@ -181,7 +183,7 @@
     def end_stream(self, entry):
         self.engine_by_entry.pop(f'e{entry}', None)
         for node in self.network.nodes.values():
-            node.forget(f'e{entry}')
+            node.remove_report(f'e{entry}')
 
     @stateful.rule(at=strategies.integers(0, 2))
     def partition(self, at):
@@ -227,13 +229,13 @@
 def test_load_that_moves_between_entries_is_reported_to_both(network):
     """Guards against omitting engines whose total load is unchanged."""
     node = network.nodes['n0']
-    node.take(report('e1', 'i1'), 0.0)
-    node.take(report('e2'), 0.0)
+    node.add_report(report('e1', 'i1'), 0.0)
+    node.add_report(report('e2'), 0.0)
     summaries = {}
     for entry in ('e1', 'e2'):
         summaries[entry] = network.summary('n0', entry)
-    node.take(report('e1'), 0.0)
-    node.take(report('e2', 'i1'), 0.0)
+    node.add_report(report('e1'), 0.0)
+    node.add_report(report('e2', 'i1'), 0.0)
     first = network.summary('n0', 'e1', summaries['e1'].number)
     second = network.summary('n0', 'e2', summaries['e2'].number)
     assert first.engines['i1'].running == 1
@@ -243,10 +245,10 @@
 def test_only_changed_loads_are_sent(network):
     """Guards against sending loads that haven't changed."""
     node = network.nodes['n0']
-    node.take(report('e1', *(f'i{n}' for n in range(200))), 0.0)
+    node.add_report(report('e1', *(f'i{n}' for n in range(200))), 0.0)
     network.exchange(3)
     known_number = network.summary('n1').number
-    node.take(report('e2', 'i7'), 0.0)
+    node.add_report(report('e2', 'i7'), 0.0)
     size = len(messages.encode(node.node_load(network.now)))
     assert size < 400
     network.exchange(1)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -205,7 +205,7 @@
     later = loads.summary_for('e3', 2)
     assert (later.lost, later.replaced) == ([], [])
     assert not loads.take(messages.LoadReport('e1', {}, ['i9']), 0.1)
-    loads.forget('e2')
+    loads.remove_report('e2')
     assert loads.summary_for('e1', 0).engines == {}
 
 
