--- a/src/bulrushhold/decisions/_claims.py
+++ b/src/bulrushhold/decisions/_claims.py
@@ -73,7 +73,7 @@
             record.body = end.body
         return _outcome(record, granted=False)
 
-    def forget(self, before: float) -> int:
+    def advance_watermark(self, before: float) -> int:
         """Advance the watermark; return how many claims were discarded."""
         self.watermark = max(self.watermark, before)
         expired = [
--- a/src/bulrushhold/decisions/_statemachine.py
+++ b/src/bulrushhold/decisions/_statemachine.py
@@ -44,7 +44,7 @@
         if isinstance(message, messages.ClaimEnd):
             return messages.encode(self.claims.end(message))
         if isinstance(message, messages.ForgetClaims):
-            self.claims.forget(message.before)
+            self.claims.advance_watermark(message.before)
             return b''
         if isinstance(message, messages.Quarantine):
             self._quarantine(message)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -78,7 +78,7 @@
 
 async def test_a_key_older_than_the_watermark_is_refused(system):
     old = uuid.UUID(int=(1_000_000 << 80) | (7 << 76) | (2 << 62))
-    system.control.state.claims.forget(2_000.0)
+    system.control.state.claims.advance_watermark(2_000.0)
     with pytest.raises(errors.RequestError, match='too old'):
         await book(system, key=str(old))
     assert not system.booking.runs
