--- a/src/bulrushhold/decisions/_copies.py
+++ b/src/bulrushhold/decisions/_copies.py
@@ -154,7 +154,7 @@
         copy.finish = append.finish
         return True, len(copy.tokens)
 
-    def take(
+    def take_copy(
         self, request: messages.CopyTake, now: float
     ) -> messages.CopyState:
         """Return a copy and fence the entry that wrote it.
--- a/src/bulrushhold/entry/_keyregistrar.py
+++ b/src/bulrushhold/entry/_keyregistrar.py
@@ -216,7 +216,7 @@
             now = time.monotonic()
             if isinstance(message, messages.PointerTake):
                 return self.store.take_pointer(message, now)
-            return self.store.take(message, now)
+            return self.store.take_copy(message, now)
         try:
             return await self.transport.request(
                 address, message, REQUEST_TIMEOUT_S
@@ -230,7 +230,7 @@
         return self.store.take_pointer(request, time.monotonic())
 
     async def _on_take(self, request: messages.CopyTake) -> messages.CopyState:
-        return self.store.take(request, time.monotonic())
+        return self.store.take_copy(request, time.monotonic())
 
     async def _on_batch(
         self, batch: messages.CopyBatch
--- a/tests/test_takeover_orders.py
+++ b/tests/test_takeover_orders.py
@@ -102,7 +102,7 @@
         take = messages.CopyTake(KEY, epoch)
         answering = self.reachable(name)
         copies = [
-            self.stores[n].take(take, self.now)
+            self.stores[n].take_copy(take, self.now)
             for n in pointers.former
             if n in answering
         ]
