--- a/src/bulrushhold/decisions/__init__.py
+++ b/src/bulrushhold/decisions/__init__.py
@@ -63,11 +63,12 @@
 from bulrushhold.decisions._takeover import best_copy
 from bulrushhold.decisions._takeover import PointerSummary
 from bulrushhold.decisions._takeover import summarize_pointers
+from bulrushhold.decisions._transcript import AcceptResult
 from bulrushhold.decisions._transcript import Transcript
-from bulrushhold.decisions._transcript import Verdict
 
 __all__ = [
     'ADMISSION_CHECK_S',
+    'AcceptResult',
     'AccountRetryBudget',
     'Action',
     'AdmissionController',
@@ -113,7 +114,6 @@
     'TableState',
     'Timing',
     'Transcript',
-    'Verdict',
     'WorkBudget',
     'best_copy',
     'content_fingerprint',
--- a/src/bulrushhold/decisions/_transcript.py
+++ b/src/bulrushhold/decisions/_transcript.py
@@ -5,7 +5,7 @@
 import attrs
 
 
-class Verdict(enum.StrEnum):
+class AcceptResult(enum.StrEnum):
     """Result of offering a token or end mark to a transcript."""
 
     ACCEPTED = 'accepted'
@@ -48,14 +48,14 @@
 
     def accept(
         self, request: str, attempt: int, offset: int, text: str, finish: str
-    ) -> Verdict:
+    ) -> AcceptResult:
         """Append a token or end mark if it is the expected next one.
 
         :param finish: ``''`` for a token, otherwise the finish reason.
         """
-        verdict = self._classify(request, attempt, offset)
-        if verdict is not Verdict.ACCEPTED:
-            return verdict
+        result = self._classify(request, attempt, offset)
+        if result is not AcceptResult.ACCEPTED:
+            return result
         if len(self.active_attempts) > 1:
             self.active_attempts = {attempt: self.active_attempts[attempt]}
         self.version = self.active_attempts[attempt]
@@ -63,15 +63,17 @@
             self.finish = finish
         else:
             self.tokens.append(text)
-        return verdict
+        return result
 
-    def _classify(self, request: str, attempt: int, offset: int) -> Verdict:
+    def _classify(
+        self, request: str, attempt: int, offset: int
+    ) -> AcceptResult:
         if request != self.request:
-            return Verdict.WRONG_REQUEST
+            return AcceptResult.WRONG_REQUEST
         if attempt not in self.active_attempts or self.finish:
-            return Verdict.STALE
+            return AcceptResult.STALE
         if offset < len(self.tokens):
-            return Verdict.DUPLICATE
+            return AcceptResult.DUPLICATE
         if offset > len(self.tokens):
-            return Verdict.MISSING
-        return Verdict.ACCEPTED
+            return AcceptResult.MISSING
+        return AcceptResult.ACCEPTED
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -249,15 +249,15 @@
     ) -> bool:
         """Process an event; return whether to continue reading."""
         transcript = generation.transcript
-        verdict = transcript.accept(
+        result = transcript.accept(
             event.request,
             event.attempt,
             event.offset,
             event.token,
             event.finish,
         )
-        if verdict is not decisions.Verdict.ACCEPTED:
-            return self._reject_event(generation, attempt, verdict)
+        if result is not decisions.AcceptResult.ACCEPTED:
+            return self._reject_event(generation, attempt, result)
         now = time.monotonic()
         if attempt.started:
             attempt.state.gaps.add(now - attempt.last_event_at)
@@ -288,15 +288,15 @@
         self,
         generation: _generation.Generation,
         attempt: _attempts.Attempt,
-        verdict: decisions.Verdict,
+        result: decisions.AcceptResult,
     ) -> bool:
-        self.metrics.count(f'tokens.{verdict.value}')
+        self.metrics.count(f'tokens.{result.value}')
         loguru.logger.bind(
             request=generation.key,
             attempt=attempt.number,
             engine=attempt.state.server.name,
-        ).warning('token dropped: {}', verdict.value)
-        return verdict is decisions.Verdict.DUPLICATE
+        ).warning('token dropped: {}', result.value)
+        return result is decisions.AcceptResult.DUPLICATE
 
     def _apply_load_report(self, state: decisions.BackendState) -> None:
         report = self.engines.reports.pop(state.server.address, None)
