--- a/src/bulrushhold/decisions/_routing.py
+++ b/src/bulrushhold/decisions/_routing.py
@@ -173,7 +173,7 @@
         *,
         version: str = '',
         avoid: cabc.Collection[str] = (),
-        suspect: bool = False,
+        may_be_poison: bool = False,
     ) -> Choice:
         """Choose an engine for a generation.
 
@@ -195,7 +195,7 @@
             )
 
         filters: list[cabc.Callable[[BackendState], bool]] = []
-        if suspect:
+        if may_be_poison:
             filters.append(
                 lambda s: eligible(s)
                 and s.server.name not in avoid
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -137,7 +137,7 @@
             time.monotonic(),
             version=transcript.version if transcript.tokens else '',
             avoid=generation.failed_engines | avoid,
-            suspect=self.crash_tracker.may_be_poison(spec.fingerprint),
+            may_be_poison=self.crash_tracker.may_be_poison(spec.fingerprint),
         )
         node.log_decision(
             'route',
