--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -74,7 +74,7 @@
                 return server
         return None
 
-    async def until(self, condition, seconds=10.0):
+    async def wait_until(self, condition, seconds=10.0):
         async with asyncio.timeout(seconds):
             while not condition():
                 await asyncio.sleep(0.02)
--- a/tests/test_fleet_control.py
+++ b/tests/test_fleet_control.py
@@ -44,11 +44,13 @@
         contacts = list(map(str, peers.values()))
         for name in 'ab':
             self.start_relay(name, contacts)
-        await self.cluster.until(lambda: self.cluster.leader() is not None)
+        await self.cluster.wait_until(
+            lambda: self.cluster.leader() is not None
+        )
         self.put_route_map(1)
         for name in 'ab':
             self.start_entry(name, contacts)
-        await self.cluster.until(self.settled)
+        await self.cluster.wait_until(self.settled)
 
     def put_route_map(self, version):
         route_map = routes.RouteMap(version, [], [routes.Service('engines')])
@@ -112,7 +114,9 @@
     async def wait_for_running(self, count):
         """Wait until entry b counts this many streams of entry a."""
         backend = self.entries['b'].placement.backends['i1']
-        await self.cluster.until(lambda: backend.remote_load.running == count)
+        await self.cluster.wait_until(
+            lambda: backend.remote_load.running == count
+        )
 
 
 @pytest_asyncio.fixture
@@ -135,7 +139,7 @@
     now = time.monotonic()
     fleet.entries['a'].placement.record_failure('i2', now, unreachable=True)
     backend = fleet.entries['b'].placement.backends['i2']
-    await fleet.cluster.until(lambda: backend.ejected_until > now, 0.3)
+    await fleet.cluster.wait_until(lambda: backend.ejected_until > now, 0.3)
 
 
 async def test_load_is_shared_without_a_leader(fleet):
@@ -161,14 +165,14 @@
     assert time.monotonic() - started_at < 1.5
     assert fleet.entries['b'].placement.backends['i3'].ejected_until
     fleet.put_route_map(2)
-    await fleet.cluster.until(lambda: entry.map_version == 2, 1.0)
+    await fleet.cluster.wait_until(lambda: entry.map_version == 2, 1.0)
     assert entry.entry_count() == 2
 
 
 async def test_a_new_route_map_reaches_all_data_centres(fleet):
     fleet.put_route_map(5)
     for entry in fleet.entries.values():
-        await fleet.cluster.until(lambda e=entry: e.map_version == 5, 1.0)
+        await fleet.cluster.wait_until(lambda e=entry: e.map_version == 5, 1.0)
 
 
 async def test_a_stopped_entry_is_no_longer_counted(fleet):
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -13,7 +13,7 @@
     peers = {name: core.address() for name in ('a', 'b', 'c')}
     for name, peer in peers.items():
         core.start(name, peer, peers)
-    await core.until(lambda: core.leader() is not None)
+    await core.wait_until(lambda: core.leader() is not None)
     command = messages.encode(messages.RouteMapPut(7, b'packed', b'source'))
     assert (await core.leader().propose(command)).status == 'done'
     return peers
@@ -27,7 +27,7 @@
     await core.stop(stopped)
     replacement = core.start('d', core.address(), contacts=peers.values())
     expected_voters = sorted({'a', 'b', 'c', 'd'} - {stopped})
-    await core.until(lambda: core.voters() == expected_voters)
+    await core.wait_until(lambda: core.voters() == expected_voters)
     assert replacement.state.map_version == 7
     second_stopped = next(
         n
@@ -51,11 +51,11 @@
         stopped, peers[stopped], contacts=[peers[stopped], *others]
     )
     ident = restarted.replica.ident
-    await core.until(
+    await core.wait_until(
         lambda: core.leader() is not None
         and ident in core.leader().replica.config.voters
     )
-    await core.until(lambda: core.voters() == ['a', 'b', 'c'])
+    await core.wait_until(lambda: core.voters() == ['a', 'b', 'c'])
     assert restarted.state.map_version == 7
 
 
@@ -65,8 +65,8 @@
         n for n in 'abc' if core.running[n][0] is not core.leader()
     )
     replacement = core.start('d', core.address(), contacts=[peers[follower]])
-    await core.until(lambda: replacement.state.map_version == 7)
-    await core.until(lambda: replacement.replica.leader_address() != '')
+    await core.wait_until(lambda: replacement.state.map_version == 7)
+    await core.wait_until(lambda: replacement.replica.leader_address() != '')
 
 
 async def test_a_new_log_accepts_no_command_before_it_has_three_voters(
@@ -76,12 +76,12 @@
     # its disk.
     peers = {name: core.address() for name in 'abc'}
     first = core.start('a', peers['a'], {'a': peers['a']}, founds=True)
-    await core.until(lambda: core.leader() is first)
+    await core.wait_until(lambda: core.leader() is first)
     command = messages.encode(messages.RouteMapPut(7, b'packed', b'source'))
     assert (await first.propose(command)).status == 'unknown'
     for name in 'bc':
         core.start(name, peers[name], contacts=[peers['a']], founds=True)
-    await core.until(lambda: core.voters() == ['a', 'b', 'c'])
+    await core.wait_until(lambda: core.voters() == ['a', 'b', 'c'])
     assert (await first.propose(command)).status == 'done'
 
 
@@ -103,14 +103,16 @@
         core.start(name, core.address(), contacts=[contact], founds=True)
         for name in 'abc'
     ]
-    await core.until(lambda: any(server.bootstrapped for server in servers))
+    await core.wait_until(
+        lambda: any(server.bootstrapped for server in servers)
+    )
     bootstrapped_servers = [s for s in servers if s.bootstrapped]
     assert len(bootstrapped_servers) == 1
     name = bootstrapped_servers[0].config.name
     peer = bootstrapped_servers[0].config.peer
     await core.stop(name)
     core.start(name, peer, contacts=[contact], founds=True)
-    await core.until(lambda: core.voters() == ['a', 'b', 'c'])
+    await core.wait_until(lambda: core.voters() == ['a', 'b', 'c'])
     put = messages.RouteMapPut(7, b'packed', b'source')
     assert (await relay.leader_client.put_map(put)).version == 7
     assert (await relay.leader_client.read_map()).source == b'source'
@@ -137,7 +139,7 @@
     )
     fleet = control.FleetRelay(relay, 'dc')
     relay_task = asyncio.ensure_future(relay.run())
-    await core.until(lambda: relay.leader != '')
+    await core.wait_until(lambda: relay.leader != '')
     assert relay.voter_addresses == sorted(map(str, peers.values()))
     entry = messages.ListedEntry('e1', 'dc', '127.0.0.1:1', True)
     reply = await fleet.watch._on_watch(
