--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -192,11 +192,13 @@
     loads = decisions.LoadAggregator()
     load = messages.EngineLoad(8000, 1)
     traffic = {'engines': messages.ServiceTraffic(10, 2)}
-    loads.take(messages.LoadReport('e1', {'i1': load}, [], [], traffic), 0.0)
+    loads.add_report(
+        messages.LoadReport('e1', {'i1': load}, [], [], traffic), 0.0
+    )
     update = messages.LoadReport(
         'e2', {'i1': load, 'i2': load}, ['i9'], ['i8'], traffic
     )
-    assert loads.take(update, 0.0)
+    assert loads.add_report(update, 0.0)
     assert loads.summary_for('e1', 0).engines == {'i1': load, 'i2': load}
     total = loads.summary_for('e3', 0)
     assert total.engines['i1'] == messages.EngineLoad(16000, 2)
@@ -204,7 +206,7 @@
     assert (total.lost, total.replaced) == (['i9'], ['i8'])
     later = loads.summary_for('e3', 2)
     assert (later.lost, later.replaced) == ([], [])
-    assert not loads.take(messages.LoadReport('e1', {}, ['i9']), 0.1)
+    assert not loads.add_report(messages.LoadReport('e1', {}, ['i9']), 0.1)
     loads.remove_report('e2')
     assert loads.summary_for('e1', 0).engines == {}
 
