--- a/src/bulrushhold/calls.py
+++ b/src/bulrushhold/calls.py
@@ -48,7 +48,7 @@
     key: str
     headers: Headers
     body: bytes
-    wait_s: float
+    timeout_s: float
     last_event_id: int | None = None
     prompt: Prompt | None = None
 
--- a/src/bulrushhold/forwarding/_forwarder.py
+++ b/src/bulrushhold/forwarding/_forwarder.py
@@ -71,7 +71,7 @@
         After a cold start no entry has the map, so that a refusal would only
         use up the caller's retries.
         """
-        wait = min(START_WAIT_S, call.wait_s * START_WAIT_SHARE)
+        wait = min(START_WAIT_S, call.timeout_s * START_WAIT_SHARE)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait):
                 await self.fleet.became_ready.wait()
@@ -96,7 +96,7 @@
         fingerprint = decisions.fingerprint(path, call.key, call.body)
         self._refuse_poison_request(fingerprint, service, now)
         self.context.budget.count_request(service, now)
-        deadline = now + min(call.wait_s, route.timeout_s)
+        deadline = now + min(call.timeout_s, route.timeout_s)
         return _context.Job(
             call, route, service, account, deadline, fingerprint
         )
--- a/tests/forwarding/fakes.py
+++ b/tests/forwarding/fakes.py
@@ -160,7 +160,7 @@
 def make_job(
     context,
     kind,
-    wait_s=5.0,
+    timeout_s=5.0,
     last_event_id=None,
     attempts=5,
     aim_s=0.3,
@@ -174,7 +174,7 @@
         'k',
         (),
         b'',
-        wait_s,
+        timeout_s,
         last_event_id,
         calls.Prompt(8000, 100, ('p',)),
     )
@@ -184,14 +184,14 @@
         '/a/',
         kind,
         [routes.Target('engines', 1)],
-        wait_s,
+        timeout_s,
         aim_s,
         max_attempts=attempts,
         resumable=True,
         gap_s=gap_s,
     )
     return forwarding.Job(
-        call, route, 'engines', 'acct', context.clock() + wait_s
+        call, route, 'engines', 'acct', context.clock() + timeout_s
     )
 
 
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -236,7 +236,7 @@
     context.admission.waiting['engines'] = 200
     started_at = context.clock()
     with pytest.raises(errors.RequestError) as caught:
-        await fakes.run_stream(context, wait_s=25.0)
+        await fakes.run_stream(context, timeout_s=25.0)
     assert caught.value.status == 503
     assert caught.value.ran is errors.Ran.NO
     assert caught.value.retry_after == 8.0
@@ -294,7 +294,7 @@
     context.placement.capacity = {'engines': 5000}
     started_at = context.clock()
     with pytest.raises(errors.RequestError) as caught:
-        await fakes.run_stream(context, wait_s=25.0)
+        await fakes.run_stream(context, timeout_s=25.0)
     assert context.clock() - started_at < 0.5
     assert caught.value.status == 503
     assert caught.value.ran is errors.Ran.NO
--- a/tests/forwarding/test_fleet.py
+++ b/tests/forwarding/test_fleet.py
@@ -26,7 +26,7 @@
 
 async def test_without_a_map_requests_are_refused_as_not_run(context, fleet):
     forwarder = forwarding.Forwarder(fleet, context)
-    call = fakes.make_job(context, routes.Kind.ONCE, wait_s=0.1).call
+    call = fakes.make_job(context, routes.Kind.ONCE, timeout_s=0.1).call
     with pytest.raises(errors.RequestError) as caught:
         await forwarder.handle(call, fakes.FakeCaller())
     assert caught.value.status == 503
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -66,7 +66,7 @@
     client.scripts = [fakes.Script(then='silent'), fakes.Script(then='silent')]
     with pytest.raises(errors.RequestError) as caught:
         await fakes.run_plain(
-            context, routes.Kind.IDEMPOTENT, wait_s=1.0, attempts=2
+            context, routes.Kind.IDEMPOTENT, timeout_s=1.0, attempts=2
         )
     assert caught.value.status == 504
     assert client.attempts[1].remaining_s < 0.6
--- a/tests/platform/test_fuzzing.py
+++ b/tests/platform/test_fuzzing.py
@@ -188,7 +188,7 @@
     except errors.RequestError as error:
         assert error.status == 400
     else:
-        assert not math.isnan(call.wait_s) and call.wait_s >= 0
+        assert not math.isnan(call.timeout_s) and call.timeout_s >= 0
         if call.prompt is not None:
             assert min(call.prompt.tokens, call.prompt.max_output_tokens) >= 0
 
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -47,7 +47,7 @@
     assert call.ident == 'req-1'
     assert call.host == 'forms.example'
     assert call.key == 'secret'
-    assert call.wait_s == 2.5
+    assert call.timeout_s == 2.5
     assert call.last_event_id == 12
     assert call.prompt == calls.Prompt(1460, 80, ('5c1e', '91bd'))
 
