--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -372,7 +372,7 @@
 
         If only the stream broke, no request is blamed.
         """
-        if await self.engines.alive(state.server.address):
+        if await self.engines.probe(state.server.address):
             return
         # A request that couldn't connect can't have crashed the engine.
         running_attempts = [
--- a/src/bulrushhold/ports.py
+++ b/src/bulrushhold/ports.py
@@ -115,7 +115,7 @@
         """Ask the engine to stop an attempt; errors are ignored."""
 
     @abc.abstractmethod
-    async def alive(self, address: str) -> bool:
+    async def probe(self, address: str) -> bool:
         """Whether a process accepts connections at the address.
 
         ``False`` only if the connection is refused, as a timeout may mean
--- a/src/bulrushhold/web/_engine.py
+++ b/src/bulrushhold/web/_engine.py
@@ -91,7 +91,7 @@
         except _HTTP_ERRORS:
             return
 
-    async def alive(self, address: str) -> bool:
+    async def probe(self, address: str) -> bool:
         """Return whether the address accepts connections."""
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
