--- a/tests/forwarding/fakes.py
+++ b/tests/forwarding/fakes.py
@@ -196,10 +196,10 @@
 
 
 async def run_stream(context, **options):
-    out = FakeCaller()
+    caller = FakeCaller()
     job = make_job(context, routes.Kind.STREAM, **options)
-    reply = await forwarding.StreamForwarder(context, job, out).run()
-    return out, reply
+    reply = await forwarding.StreamForwarder(context, job, caller).run()
+    return caller, reply
 
 
 async def run_plain(context, kind, **options):
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -252,17 +252,17 @@
     for backend in context.placement.backends.values():
         backend.memory = 20_000
     client.scripts = [fakes.Script(events=(1, 2))]
-    out = fakes.FakeCaller()
+    caller = fakes.FakeCaller()
     job = fakes.make_job(context, routes.Kind.STREAM)
     run = asyncio.ensure_future(
-        forwarding.StreamForwarder(context, job, out).run()
+        forwarding.StreamForwarder(context, job, caller).run()
     )
     await asyncio.sleep(0.15)
     assert client.log == []
     assert context.admission.waiting['engines'] == 1
     context.placement.backends['i3'].memory = 0
     await run
-    assert out.data == fakes.encode_events(1, 2)
+    assert caller.data == fakes.encode_events(1, 2)
     assert context.admission.waiting['engines'] == 0
     # Under overload no copy is made where it would fill an engine.
     assert client.attempts[0].backup == ''
--- a/tests/forwarding/test_fleet.py
+++ b/tests/forwarding/test_fleet.py
@@ -44,13 +44,13 @@
     context.placement.speeds.record_run('engines', run_s, context.clock())
     client.scripts = [fakes.Script(events=(1, 2))]
     call = fakes.make_job(context, routes.Kind.STREAM).call
-    out = fakes.FakeCaller()
+    caller = fakes.FakeCaller()
     if served:
-        await forwarder.handle(call, out)
-        assert out.ended
+        await forwarder.handle(call, caller)
+        assert caller.ended
         return
     with pytest.raises(errors.RequestError) as caught:
-        await forwarder.handle(call, out)
+        await forwarder.handle(call, caller)
     assert caught.value.status == 503
     assert caught.value.ran is errors.Ran.NO
     assert caught.value.retry_after < 0.1
--- a/tests/forwarding/test_stall_timeouts.py
+++ b/tests/forwarding/test_stall_timeouts.py
@@ -38,8 +38,8 @@
         fakes.Script(events=(1,), then='silent'),
         fakes.Script(events=(2,)),
     ]
-    out, _ = await fakes.run_stream(context, aim_s=4.0, gap_s=0.06)
-    assert out.data == fakes.encode_events(1, 2)
+    caller, _ = await fakes.run_stream(context, aim_s=4.0, gap_s=0.06)
+    assert caller.data == fakes.encode_events(1, 2)
     assert bool(client.attempts[0].backup) is not memory_full
     assert min_pause_s <= longest_pause_s(log_records) < min_pause_s + 0.3
 
@@ -88,6 +88,6 @@
         return await original_chunk(self)
 
     monkeypatch.setattr(fakes.FakeAnswer, 'chunk', chunk)
-    out, _ = await fakes.run_stream(context, gap_s=0.35)
-    assert out.data == fakes.encode_events(1, 2, 3)
+    caller, _ = await fakes.run_stream(context, gap_s=0.35)
+    assert caller.data == fakes.encode_events(1, 2, 3)
     assert len(client.attempts) == 1
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -16,10 +16,10 @@
 
 async def test_a_complete_stream_is_forwarded(client, context):
     client.scripts = [fakes.Script(events=(1, 2, 3))]
-    out, reply = await fakes.run_stream(context)
+    caller, reply = await fakes.run_stream(context)
     assert reply is None
-    assert out.data == fakes.encode_events(1, 2, 3)
-    assert out.ended and not out.aborted
+    assert caller.data == fakes.encode_events(1, 2, 3)
+    assert caller.ended and not caller.aborted
     assert client.attempts[0].backup
 
 
@@ -30,9 +30,9 @@
         fakes.Script(events=(1, 2), then='half'),
         fakes.Script(events=(3, 4)),
     ]
-    out, _ = await fakes.run_stream(context)
-    assert out.data == fakes.encode_events(1, 2, 3, 4)
-    assert out.ended
+    caller, _ = await fakes.run_stream(context)
+    assert caller.data == fakes.encode_events(1, 2, 3, 4)
+    assert caller.ended
     first, second = client.attempts
     assert second.last_event_id == 2
     assert second.address != first.address
@@ -63,13 +63,13 @@
     # Guards against streams whose outcome is missing from the log.
     async def cancel_stream(connected):
         client.scripts = [fakes.Script(events=(1,), then='silent')]
-        out = fakes.FakeCaller()
+        caller = fakes.FakeCaller()
         job = fakes.make_job(context, routes.Kind.STREAM)
         run = asyncio.ensure_future(
-            forwarding.StreamForwarder(context, job, out).run()
+            forwarding.StreamForwarder(context, job, caller).run()
         )
         await asyncio.sleep(0.02)
-        out.connected = connected
+        caller.connected = connected
         run.cancel()
         with pytest.raises(asyncio.CancelledError):
             await run
@@ -155,7 +155,7 @@
         with pytest.MonkeyPatch.context() as patch:
             streams = 'bulrushhold.forwarding._streams'
             patch.setattr(f'{streams}.COPY_AFTER_S', 0.0)
-            out, _ = await fakes.run_stream(context)
+            caller, _ = await fakes.run_stream(context)
     finally:
         fakes.FakeAnswer.chunk = original_chunk
     first, second = client.attempts
@@ -163,7 +163,7 @@
     assert source == first.address and target != first.backup
     assert second.address == target
     assert second.copy == calls.RunCopy(first.address, 'h1')
-    assert out.data == fakes.encode_events(1, 2, 3)
+    assert caller.data == fakes.encode_events(1, 2, 3)
 
 
 async def test_a_copy_is_made_once_memory_is_free(
@@ -191,11 +191,11 @@
         fakes.Script(events=(1, 2), then='reset'),
         fakes.Script(events=(3,)),
     ]
-    out, _ = await fakes.run_stream(context)
+    caller, _ = await fakes.run_stream(context)
     first, second = client.attempts
     assert not first.backup
     assert second.copy is not None
-    assert out.data == fakes.encode_events(1, 2, 3)
+    assert caller.data == fakes.encode_events(1, 2, 3)
     assert all(not b.memory for b in context.placement.backends.values())
 
 
@@ -208,8 +208,8 @@
         fakes.Script(events=(1,), then=then),
         fakes.Script(events=(2,)),
     ]
-    out, _ = await fakes.run_stream(context)
-    assert out.data == fakes.encode_events(1, 2)
+    caller, _ = await fakes.run_stream(context)
+    assert caller.data == fakes.encode_events(1, 2)
     crashed = then == 'crash'
     lost = context.placement.load_report('e1', {}, context.clock()).lost
     engine = f'i{client.attempts[0].address[7]}'
@@ -249,8 +249,8 @@
     await asyncio.sleep(0)
     backup = f'i{client.attempts[0].backup[7]}'
     context.placement.record_failure(backup, context.clock(), unreachable=True)
-    out, _ = await run
-    assert out.data == fakes.encode_events(1, 2, 3)
+    caller, _ = await run
+    assert caller.data == fakes.encode_events(1, 2, 3)
     assert client.attempts[1].copy == calls.RunCopy(
         client.attempts[0].address, 'h1'
     )
@@ -264,9 +264,9 @@
         fakes.Script(events=(2, 3, 5)),
         fakes.Script(events=(4, 5, 6)),
     ]
-    out, _ = await fakes.run_stream(context)
-    assert out.data == fakes.encode_events(1, 2, 3, 4, 5, 6)
-    assert out.ended
+    caller, _ = await fakes.run_stream(context)
+    assert caller.data == fakes.encode_events(1, 2, 3, 4, 5, 6)
+    assert caller.ended
 
 
 async def test_a_stream_without_further_engines_is_aborted(client, context):
@@ -274,9 +274,9 @@
     client.scripts = [attrs.evolve(s) for s in client.scripts]
     for script in client.scripts[1:]:
         script.events = ()
-    out, _ = await fakes.run_stream(context)
-    assert out.data == fakes.encode_events(1)
-    assert out.aborted and not out.ended
+    caller, _ = await fakes.run_stream(context)
+    assert caller.data == fakes.encode_events(1)
+    assert caller.aborted and not caller.ended
 
 
 async def test_a_stalled_engine_that_fails_its_probe_is_replaced(
@@ -290,8 +290,8 @@
     run = asyncio.ensure_future(fakes.run_stream(context))
     await asyncio.sleep(0.01)
     client.dead.add(client.attempts[0].address)
-    out, _ = await asyncio.wait_for(run, 0.5)
-    assert out.data == fakes.encode_events(1, 2)
+    caller, _ = await asyncio.wait_for(run, 0.5)
+    assert caller.data == fakes.encode_events(1, 2)
 
 
 async def test_a_stream_without_engines_is_refused_as_not_run(client, context):
@@ -305,9 +305,9 @@
 
 async def test_a_resuming_caller_gets_the_missing_events(client, context):
     client.scripts = [fakes.Script(events=(8, 9))]
-    out, _ = await fakes.run_stream(context, last_event_id=7)
+    caller, _ = await fakes.run_stream(context, last_event_id=7)
     assert client.attempts[0].last_event_id == 7
-    assert out.data == fakes.encode_events(8, 9)
+    assert caller.data == fakes.encode_events(8, 9)
 
 
 async def test_a_resuming_caller_is_routed_to_its_cached_prompt(
@@ -323,9 +323,9 @@
         ['other', 'p']
     )
     client.scripts = [fakes.Script(events=(8, 9))]
-    out, _ = await fakes.run_stream(context, last_event_id=7)
+    caller, _ = await fakes.run_stream(context, last_event_id=7)
     assert client.attempts[0].address == candidates[-1].address
-    assert out.data == fakes.encode_events(8, 9)
+    assert caller.data == fakes.encode_events(8, 9)
 
 
 async def test_a_new_caller_causes_no_cache_lookup(client, context):
@@ -354,8 +354,8 @@
     client.scripts = [fakes.Script(events=(1, 2), open_delay_s=0.56)]
     client.probe_delay_s = 0.12
     client.dead = {f'10.0.0.{n}:80' for n in range(6)}
-    out, _ = await fakes.run_stream(context, aim_s=3.0)
-    assert out.data == fakes.encode_events(1, 2)
+    caller, _ = await fakes.run_stream(context, aim_s=3.0)
+    assert caller.data == fakes.encode_events(1, 2)
     assert len(client.attempts) == 1
 
 
