--- a/tests/forwarding/fakes.py
+++ b/tests/forwarding/fakes.py
@@ -33,7 +33,7 @@
     open_delay_s: float = 0.0
 
 
-class FakeAnswer(calls.BackendResponse):
+class FakeResponse(calls.BackendResponse):
     def __init__(self, client, address, script):
         self.script = script
         self.client = client
@@ -96,7 +96,7 @@
         if script.open_delay_s:
             await asyncio.sleep(script.open_delay_s)
         self.opened.append(attempt.address)
-        return FakeAnswer(self, attempt.address, script)
+        return FakeResponse(self, attempt.address, script)
 
     async def probe(self, address, timeout):
         try:
--- a/tests/forwarding/test_stall_timeouts.py
+++ b/tests/forwarding/test_stall_timeouts.py
@@ -59,7 +59,7 @@
             backend.reading = queued_tokens
         if len(addresses) == 1:
             await asyncio.sleep(0.5)
-        return fakes.FakeAnswer(
+        return fakes.FakeResponse(
             client, attempt.address, fakes.Script(events=(1,))
         )
 
@@ -77,7 +77,7 @@
         fakes.Script(events=(1, 2, 3)),
         fakes.Script(events=(3,)),
     ]
-    original_chunk = fakes.FakeAnswer.chunk
+    original_chunk = fakes.FakeResponse.chunk
     pauses_s = [1.0]
 
     async def chunk(self):
@@ -87,7 +87,7 @@
             await asyncio.sleep(0.01)
         return await original_chunk(self)
 
-    monkeypatch.setattr(fakes.FakeAnswer, 'chunk', chunk)
+    monkeypatch.setattr(fakes.FakeResponse, 'chunk', chunk)
     caller, _ = await fakes.run_stream(context, gap_s=0.35)
     assert caller.data == fakes.encode_events(1, 2, 3)
     assert len(client.attempts) == 1
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -135,7 +135,7 @@
         fakes.Script(events=(1, 2), then='reset'),
         fakes.Script(events=(3,)),
     ]
-    original_chunk = fakes.FakeAnswer.chunk
+    original_chunk = fakes.FakeResponse.chunk
     context.placement.record_failure('i5', context.clock(), unreachable=True)
 
     async def slow_chunk(self):
@@ -150,14 +150,14 @@
             await asyncio.sleep(0.1)
         return await original_chunk(self)
 
-    fakes.FakeAnswer.chunk = slow_chunk
+    fakes.FakeResponse.chunk = slow_chunk
     try:
         with pytest.MonkeyPatch.context() as patch:
             streams = 'bulrushhold.forwarding._streams'
             patch.setattr(f'{streams}.COPY_AFTER_S', 0.0)
             caller, _ = await fakes.run_stream(context)
     finally:
-        fakes.FakeAnswer.chunk = original_chunk
+        fakes.FakeResponse.chunk = original_chunk
     first, second = client.attempts
     source, target = client.copies[0]
     assert source == first.address and target != first.backup
@@ -176,7 +176,7 @@
     monkeypatch.setattr(f'{engine_stream}.COPY_RENEWAL_S', 0.05)
     capacity = context.placement.capacity
     capacity['engines'] = 9000
-    original_chunk = fakes.FakeAnswer.chunk
+    original_chunk = fakes.FakeResponse.chunk
 
     async def slow_chunk(self):
         await asyncio.sleep(0.02)
@@ -186,7 +186,7 @@
             await asyncio.sleep(0.2)
         return await original_chunk(self)
 
-    monkeypatch.setattr(fakes.FakeAnswer, 'chunk', slow_chunk)
+    monkeypatch.setattr(fakes.FakeResponse, 'chunk', slow_chunk)
     client.scripts = [
         fakes.Script(events=(1, 2), then='reset'),
         fakes.Script(events=(3,)),
@@ -232,10 +232,10 @@
     async def chunk(self):
         if not self.remaining_events and self.script.then == 'crash':
             await asyncio.sleep(0.1)
-        return await fakes.FakeAnswer.next_chunk(self)
+        return await fakes.FakeResponse.next_chunk(self)
 
     monkeypatch.setattr(client, 'copy_run', copy_run)
-    monkeypatch.setattr(fakes.FakeAnswer, 'chunk', chunk)
+    monkeypatch.setattr(fakes.FakeResponse, 'chunk', chunk)
     monkeypatch.setattr(
         'bulrushhold.forwarding._engine_stream.COPY_RENEWAL_S', 0.02
     )
