--- a/src/bulrushhold/decisions/_routing.py
+++ b/src/bulrushhold/decisions/_routing.py
@@ -60,7 +60,7 @@
     backoff_until: float = 0.0
     listed: bool = True
     draining_until: float = 0.0
-    suspects: int = 0
+    poison_candidates: int = 0
     gaps: _recovery.GapEstimate = attrs.field(factory=_recovery.GapEstimate)
 
     def load(self, now: float, mean_other_load: float = 0.0) -> float:
@@ -199,7 +199,7 @@
             filters.append(
                 lambda s: eligible(s)
                 and s.server.name not in avoid
-                and s.suspects == 0
+                and s.poison_candidates == 0
             )
         filters.append(lambda s: eligible(s) and s.server.name not in avoid)
         filters.append(eligible)
--- a/src/bulrushhold/entry/_runner.py
+++ b/src/bulrushhold/entry/_runner.py
@@ -179,7 +179,7 @@
         )
         live[number] = attempt
         state.own_requests += 1
-        state.suspects += may_be_poison
+        state.poison_candidates += may_be_poison
         self.running.setdefault(state.server.name, []).append(
             (generation, attempt)
         )
@@ -311,7 +311,7 @@
     ) -> None:
         state = attempt.state
         state.own_requests -= 1
-        state.suspects -= attempt.may_be_poison
+        state.poison_candidates -= attempt.may_be_poison
         running_attempts = self.running.get(state.server.name, [])
         with contextlib.suppress(ValueError):
             running_attempts.remove((generation, attempt))
