--- a/src/bulrushhold/decisions/_takeover.py
+++ b/src/bulrushhold/decisions/_takeover.py
@@ -28,10 +28,10 @@
     """
 
     majority: bool
-    sure: bool
+    conclusive: bool
     epoch: int
-    since: int
-    former: list[str]
+    start_epoch: int
+    copy_addresses: list[str]
     mismatch: bool
 
 
@@ -41,7 +41,7 @@
     """Combine the answers of ``home_count`` pointer homes."""
     quorum = home_count // 2 + 1
     newest = max((state.since for state in states), default=0)
-    former = {
+    copy_addresses = {
         address
         for state in states
         if state.since == newest
@@ -49,22 +49,22 @@
     }
     return PointerSummary(
         majority=len(states) >= quorum,
-        sure=sum(state.sure for state in states) >= quorum,
+        conclusive=sum(state.sure for state in states) >= quorum,
         epoch=max((state.epoch for state in states), default=0),
-        since=newest,
-        former=sorted(former),
+        start_epoch=newest,
+        copy_addresses=sorted(copy_addresses),
         mismatch=any(state.mismatch for state in states),
     )
 
 
 def best_copy(
-    copies: cabc.Iterable[messages.CopyState], since: int
+    copies: cabc.Iterable[messages.CopyState], start_epoch: int
 ) -> messages.CopyState | None:
     """Return the copy to resume: of the latest writer, the longest."""
     candidates = [
         copy
         for copy in copies
-        if copy.granted and copy.written and copy.written >= since
+        if copy.granted and copy.written and copy.written >= start_epoch
     ]
     return max(
         candidates,
--- a/src/bulrushhold/entry/_keyregistrar.py
+++ b/src/bulrushhold/entry/_keyregistrar.py
@@ -99,7 +99,9 @@
                 continue
             copy = await self._take_copies(key, epoch, pointers)
             copy_length = len(copy.tokens) if copy else 0
-            if received and (received > copy_length or not pointers.sure):
+            if received and (
+                received > copy_length or not pointers.conclusive
+            ):
                 raise errors.RequestError(
                     f'the answer is not known up to token {received}; send '
                     'the request again with a new key',
@@ -110,7 +112,7 @@
             if copy is not None and not (copy.tokens or copy.finish):
                 copy = None
             if copy is not None:
-                return KeyOwnership(epoch, pointers.since, copy)
+                return KeyOwnership(epoch, pointers.start_epoch, copy)
             if await self._register_new_text(key, epoch, fingerprint):
                 return KeyOwnership(epoch, epoch, None)
         if no_majority:
@@ -190,9 +192,9 @@
         self, key: str, epoch: int, pointers: decisions.PointerSummary
     ) -> messages.CopyState | None:
         states = await self._request_all(
-            pointers.former, messages.CopyTake(key, epoch)
+            pointers.copy_addresses, messages.CopyTake(key, epoch)
         )
-        best = decisions.best_copy(states, pointers.since)
+        best = decisions.best_copy(states, pointers.start_epoch)
         if best is not None:
             node.log_decision(
                 'take over',
--- a/tests/test_takeover_orders.py
+++ b/tests/test_takeover_orders.py
@@ -103,15 +103,15 @@
         answering = self.reachable(name)
         copies = [
             self.stores[n].take_copy(take, self.now)
-            for n in pointers.former
+            for n in pointers.copy_addresses
             if n in answering
         ]
-        since = 0 if self.ignore_since else pointers.since
+        since = 0 if self.ignore_since else pointers.start_epoch
         copy = decisions.best_copy(copies, since)
         if received_count and (
             copy is None
             or received_count > len(copy.tokens)
-            or not pointers.sure
+            or not pointers.conclusive
         ):
             return None
         transcript = decisions.Transcript(KEY)
