--- a/src/bulrushhold/composition/_entry.py
+++ b/src/bulrushhold/composition/_entry.py
@@ -83,7 +83,9 @@
         quarantine = entry.SharedQuarantine(
             self.control,
             self.table,
-            lambda fingerprints: self.streams.refuse_quarantined(fingerprints),
+            lambda fingerprints: self.registry.refuse_quarantined(
+                fingerprints
+            ),
             self.spawn,
             config.table_poll_s,
         )
@@ -97,11 +99,11 @@
             quarantine,
             self.metrics,
         )
-        self.streams = entry.GenerationRegistry(
+        self.registry = entry.GenerationRegistry(
             config, generation_runner, registrar, self.replicator, self.store
         )
         self.table.listeners.append(
-            lambda: self.streams.refuse_quarantined(self.table.quarantined)
+            lambda: self.registry.refuse_quarantined(self.table.quarantined)
         )
         self.table.listeners.append(
             lambda: generation_runner.crash_tracker.add_reported(
@@ -119,7 +121,7 @@
             self.view,
             self.table,
             self.control,
-            self.streams,
+            self.registry,
             services,
             self.admission,
             self.metrics,
@@ -130,7 +132,7 @@
         self.spawn(self.view.run())
         self.spawn(self.prober.run())
         self.spawn(self._update_peers())
-        self.spawn(self.streams.sweep())
+        self.spawn(self.registry.sweep())
         self.spawn(self.admission.sweep())
         self.runner = web.AppRunner(
             self.server.application(),
--- a/src/bulrushhold/entry/_server.py
+++ b/src/bulrushhold/entry/_server.py
@@ -42,7 +42,7 @@
         view: _platformview.PlatformView,
         table: _control.TableView,
         control: _control.ControlClient,
-        streams: _registry.GenerationRegistry,
+        registry: _registry.GenerationRegistry,
         services: _services.ServiceRunner,
         admission: _admission.Admission,
         metrics: ports.Metrics,
@@ -52,7 +52,7 @@
         self.view = view
         self.table = table
         self.control = control
-        self.streams = streams
+        self.registry = registry
         self.services = services
         self.admission = admission
         self.metrics = metrics
@@ -82,7 +82,7 @@
     @property
     def in_progress(self) -> int:
         """The number of requests in progress."""
-        return self.streams.running + self.calls_in_progress
+        return self.registry.running + self.calls_in_progress
 
     # Errors and admission
 
@@ -166,7 +166,7 @@
         received = _requests.read_resume(request.headers)
         chat = _requests.read_chat(await request.read())
         account = request.headers.get(_requests.ACCOUNT_HEADER, '')
-        if f'{account}/{key}' not in self.streams.generations:
+        if f'{account}/{key}' not in self.registry.generations:
             # Existing streams can still be read while the entry drains.
             self._check_accepting()
         work = request.headers.get(
@@ -184,7 +184,7 @@
             )
         new_key = not key
         key = key or str(uuid_utils.uuid7())
-        generation = await self.streams.open(
+        generation = await self.registry.open(
             f'{row.account}/{key}', spec, received, new_key=new_key
         )
         self.metrics.count('generations')
@@ -365,7 +365,7 @@
             'draining': self.draining,
             'table_revision': self.table.revision,
             'table_in_force': self.table.in_force(),
-            'generations': self.streams.running,
+            'generations': self.registry.running,
             'waiting': self.admission.queue.waiting,
             'places': self.admission.queue.capacity,
             'calls': self.calls_in_progress,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -220,7 +220,7 @@
         """Close all of an entry's connections at once, as a crash would."""
         entry = self.entries.pop(name)
         await entry.transport.close()
-        for generation in entry.streams.generations.values():
+        for generation in entry.registry.generations.values():
             if generation.task is not None:
                 generation.task.cancel()
         for site in list(entry.runner.sites):
--- a/tests/test_fault_steps.py
+++ b/tests/test_fault_steps.py
@@ -114,7 +114,7 @@
     system = await make_system(entries=3, gap_s=0.05)
 
     async def kill(tokens):
-        running = [n for n, e in system.entries.items() if e.streams.running]
+        running = [n for n, e in system.entries.items() if e.registry.running]
         if running:
             await system.kill_entry(running[0])
 
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -176,7 +176,9 @@
 def serving_entry(system):
     """Return the name of the entry with the running generation."""
     return next(
-        name for name, entry in system.entries.items() if entry.streams.running
+        name
+        for name, entry in system.entries.items()
+        if entry.registry.running
     )
 
 
@@ -196,8 +198,8 @@
     first = asyncio.ensure_future(
         system.post('/v1/chat/completions', body, 'e1', **headers)
     )
-    await conftest.wait_until(lambda: system.entries['e1'].streams.running)
-    generation = system.entries['e1'].streams.generations['vendors/k']
+    await conftest.wait_until(lambda: system.entries['e1'].registry.running)
+    generation = system.entries['e1'].registry.generations['vendors/k']
     await conftest.wait_until(lambda: generation.visible >= 5)
     status, _, answer = await system.post(
         '/v1/chat/completions', body, 'e2', **headers
@@ -238,7 +240,7 @@
     engine = system.engines['m1']
     await conftest.wait_until(lambda: not engine.running)
     assert engine.generated < 1000
-    (generation,) = system.entries['e1'].streams.generations.values()
+    (generation,) = system.entries['e1'].registry.generations.values()
     assert generation.lifecycle.state == 'cancelled'
 
 
