--- a/src/bulrushhold/decisions/_replica.py
+++ b/src/bulrushhold/decisions/_replica.py
@@ -35,7 +35,7 @@
     def __init__(
         self,
         ident: str,
-        durable: _raftstate.PersistedState,
+        persisted_state: _raftstate.PersistedState,
         timing: _raftstate.Timing,
         rng: random.Random,
         now: float,
@@ -43,12 +43,12 @@
         self.ident = ident
         self.timing = timing
         self.rng = rng
-        self.term = durable.term
-        self.vote = durable.vote
-        snapshot = durable.snapshot or messages.InstallSnapshot(
-            0, '', 0, 0, durable.founding, b'', 0
+        self.term = persisted_state.term
+        self.vote = persisted_state.vote
+        snapshot = persisted_state.snapshot or messages.InstallSnapshot(
+            0, '', 0, 0, persisted_state.founding, b'', 0
         )
-        self.log = _raftlog.RaftLog(snapshot, list(durable.entries))
+        self.log = _raftlog.RaftLog(snapshot, list(persisted_state.entries))
         self.commit = snapshot.index
         self.applied = snapshot.index
         self.saved = self.last_index
--- a/tests/control_cluster.py
+++ b/tests/control_cluster.py
@@ -40,9 +40,13 @@
         (self.folder / name).mkdir(exist_ok=True)
         if replicas and store.identity() is None:
             control.bootstrap(config, store)
-        durable, ident = control.open_replica(config, store)
+        persisted_state, ident = control.open_replica(config, store)
         replica = decisions.Replica(
-            ident, durable, TIMING, random.Random(name), node.boot_time()
+            ident,
+            persisted_state,
+            TIMING,
+            random.Random(name),
+            node.boot_time(),
         )
         state = decisions.ReplicatedState.restore(replica.log.snapshot.state)
         transport = node.ZmqTransport(str(peer))
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -63,14 +63,16 @@
 
     def start(self, name, founding=None):
         disk = self.disks[name]
-        durable = decisions.PersistedState(
+        persisted_state = decisions.PersistedState(
             disk.term,
             '' if self.bug == 'vote not synced' else disk.vote,
             list(disk.entries),
             disk.snapshot,
             self.founding if founding is None else founding,
         )
-        replica = decisions.Replica(name, durable, TIMING, self.rng, self.now)
+        replica = decisions.Replica(
+            name, persisted_state, TIMING, self.rng, self.now
+        )
         if self.bug == 'restart forgets leases':
             replica.leader_contact_at = -1e9
         self.replicas[name] = replica
