--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -323,7 +323,7 @@
 
 
 @pytest_asyncio.fixture
-async def core(tmp_path):
+async def cluster(tmp_path):
     control_processes = control_cluster.ControlCluster(tmp_path)
     yield control_processes
     for name in list(control_processes.running):
--- a/tests/test_fleet_control.py
+++ b/tests/test_fleet_control.py
@@ -28,8 +28,8 @@
 class Fleet:
     """Three replicas, a relay in each of two data centres, two entries."""
 
-    def __init__(self, core):
-        self.cluster = core
+    def __init__(self, cluster):
+        self.cluster = cluster
         self.tasks = {}
         self.transports = {}
         self.relays = {}
@@ -120,8 +120,8 @@
 
 
 @pytest_asyncio.fixture
-async def fleet(core):
-    running_fleet = Fleet(core)
+async def fleet(cluster):
+    running_fleet = Fleet(cluster)
     await running_fleet.start()
     yield running_fleet
     await running_fleet.close()
