--- a/bench/control.py
+++ b/bench/control.py
@@ -83,7 +83,7 @@
 async def measure_cluster(deployment: testing.Deployment) -> None:
     (port,) = testing.free_ports(1)
     transport = node.ZmqTransport(f'127.0.0.1:{port}')
-    addresses = [f'127.0.0.1:{p}' for p in deployment.controls.values()]
+    addresses = [f'127.0.0.1:{p}' for p in deployment.control_ports.values()]
     client = entry.ControlClient(addresses, transport)
 
     async def propose(command: t.Any) -> None:
@@ -100,7 +100,7 @@
         added = [attrs.evolve(make_rows(1)[0], account=f'new{number}')]
         return messages.TableEdit(f'e{number}', base, '', 0.0, added)
 
-    count = len(deployment.controls)
+    count = len(deployment.control_ports)
     claims = await measure_rate(propose, make_claim)
     edits = await measure_rate(propose, make_edit)
     print(f'{count} replicas: {claims:.0f} claims/s, {edits:.0f} edits/s')
@@ -200,7 +200,7 @@
     while True:
         revisions = [
             deployment.status(name)['table_revision']
-            for name in deployment.http
+            for name in deployment.entry_ports
         ]
         if min(revisions) >= target_revision:
             return time.monotonic() - started
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -155,7 +155,7 @@
     rounds: int,
 ) -> None:
     """Alternate between the byte relay and the entry and print the costs."""
-    names = [*deployment.http]
+    names = [*deployment.entry_ports]
     pids = [deployment.processes[name].pid for name in names]
     idle = psutil.Process(pids[0]).memory_info().rss
     control = psutil.Process(deployment.processes['c1'].pid)
@@ -164,7 +164,7 @@
         f'control {control.memory_info().rss / 2**20:.1f} MiB'
     )
     (port,) = testing.free_ports(1)
-    engine = deployment.engines['m1']
+    engine = deployment.engine_ports['m1']
     relay = subprocess.Popen(
         [sys.executable, __file__, 'bare', str(port), str(engine)]
     )
--- a/bench/scaling.py
+++ b/bench/scaling.py
@@ -312,7 +312,7 @@
 
 
 async def poll_table(deployment: testing.Deployment) -> None:
-    addresses = [f'127.0.0.1:{p}' for p in deployment.controls.values()]
+    addresses = [f'127.0.0.1:{p}' for p in deployment.control_ports.values()]
     leader = deployment.status()['control']['leader'].partition('.')[0]
     process = psutil.Process(deployment.processes[leader].pid)
     cpu_percent = {}
--- a/src/bulrushhold/testing/_deployment.py
+++ b/src/bulrushhold/testing/_deployment.py
@@ -57,16 +57,20 @@
         ports = iter(_ports.free_ports(controls + 2 * entries + engines + 2))
         self.platform_port = next(ports)
         self.booking_port = next(ports)
-        self.controls = {f'c{n + 1}': next(ports) for n in range(controls)}
-        self.http = {f'e{n + 1}': next(ports) for n in range(entries)}
-        self.peers = {name: next(ports) for name in self.http}
-        self.engines = {f'm{n + 1}': next(ports) for n in range(engines)}
+        self.control_ports = {
+            f'c{n + 1}': next(ports) for n in range(controls)
+        }
+        self.entry_ports = {f'e{n + 1}': next(ports) for n in range(entries)}
+        self.entry_peer_ports = {
+            name: next(ports) for name in self.entry_ports
+        }
+        self.engine_ports = {f'm{n + 1}': next(ports) for n in range(engines)}
         self.key_file = folder / 'operator.key'
 
     @property
     def seeds(self) -> list[str]:
         """HTTP addresses of all entries."""
-        return [f'127.0.0.1:{port}' for port in self.http.values()]
+        return [f'127.0.0.1:{port}' for port in self.entry_ports.values()]
 
     def start(self) -> None:
         """Write settings, start all processes and push the initial table."""
@@ -81,14 +85,14 @@
             str(self.folder / 'platform.json'),
         )
         self._start_fake('booking', '--port', str(self.booking_port))
-        for name in self.engines:
+        for name in self.engine_ports:
             self.start_engine(name)
-        for name in self.controls:
+        for name in self.control_ports:
             path = self._write_control(name)
             self._command('control-found', '--settings', str(path))
             self.start_control(name)
         self.wait_for_port(self.platform_port)
-        for name in self.http:
+        for name in self.entry_ports:
             self._write_entry(name)
             self.start_entry(name)
         self.wait_until_ready()
@@ -109,11 +113,11 @@
             {
                 'name': name,
                 'data_centre': centres[number % 3],
-                'http': f'127.0.0.1:{self.http[name]}',
-                'peer': f'127.0.0.1:{self.peers[name]}',
+                'http': f'127.0.0.1:{self.entry_ports[name]}',
+                'peer': f'127.0.0.1:{self.entry_peer_ports[name]}',
                 'leaving': name in leaving,
             }
-            for number, name in enumerate(self.http)
+            for number, name in enumerate(self.entry_ports)
         ]
         servers: list[dict[str, t.Any]] = [
             {
@@ -125,7 +129,7 @@
                 'models': {'small': 'v1'},
                 'slots': self.slots,
             }
-            for number, (name, port) in enumerate(self.engines.items())
+            for number, (name, port) in enumerate(self.engine_ports.items())
         ]
         servers.append(
             {
@@ -145,7 +149,7 @@
             '--name',
             name,
             '--port',
-            str(self.engines[name]),
+            str(self.engine_ports[name]),
             '--gap-s',
             str(self.gap_s),
             process=name,
@@ -182,8 +186,10 @@
 
     def wait_until_ready(self, names: t.Iterable[str] | None = None) -> None:
         """Wait until entries are ready, by default all of them."""
-        for name in names or self.http:
-            self._wait_for_url(f'http://127.0.0.1:{self.http[name]}/readyz')
+        for name in names or self.entry_ports:
+            self._wait_for_url(
+                f'http://127.0.0.1:{self.entry_ports[name]}/readyz'
+            )
 
     def booking_counts(self) -> dict[str, int]:
         """Return the number of bookings per slot."""
@@ -193,7 +199,7 @@
 
     def status(self, name: str = 'e1') -> dict[str, t.Any]:
         """Return the status of an entry, as served under ``/v1/status``."""
-        url = f'http://127.0.0.1:{self.http[name]}/v1/status'
+        url = f'http://127.0.0.1:{self.entry_ports[name]}/v1/status'
         with urllib.request.urlopen(url, timeout=10) as response:
             return json.load(response)
 
@@ -209,7 +215,7 @@
     def _write_control(self, name: str) -> pathlib.Path:
         replicas = {
             other: {'host': '127.0.0.1', 'port': port}
-            for other, port in self.controls.items()
+            for other, port in self.control_ports.items()
         }
         document = {
             'name': name,
@@ -223,16 +229,16 @@
 
     def _write_entry(self, name: str) -> pathlib.Path:
         own_entry = self.platform_list()['entries'][
-            list(self.http).index(name)
+            list(self.entry_ports).index(name)
         ]
         document = {
             'name': name,
             'data_centre': own_entry['data_centre'],
-            'http': {'host': '127.0.0.1', 'port': self.http[name]},
-            'peer': {'host': '127.0.0.1', 'port': self.peers[name]},
+            'http': {'host': '127.0.0.1', 'port': self.entry_ports[name]},
+            'peer': {'host': '127.0.0.1', 'port': self.entry_peer_ports[name]},
             'control': [
                 {'host': '127.0.0.1', 'port': port}
-                for port in self.controls.values()
+                for port in self.control_ports.values()
             ],
             'platform_url': f'http://127.0.0.1:{self.platform_port}/list',
             'operator_key_file': str(self.key_file),
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -49,7 +49,7 @@
     """Return the name of the entry with the running generation."""
     return next(
         name
-        for name in deployment.http
+        for name in deployment.entry_ports
         if deployment.status(name)['generations']
     )
 
@@ -63,7 +63,7 @@
 
     await read(deployment, kill)
     deployment.start_engine(killed[0])
-    deployment.wait_for_port(deployment.engines[killed[0]])
+    deployment.wait_for_port(deployment.engine_ports[killed[0]])
 
 
 async def test_a_stream_survives_a_frozen_engine(deployment):
