--- a/src/bulrushhold/testing/_booking.py
+++ b/src/bulrushhold/testing/_booking.py
@@ -19,7 +19,7 @@
     def __init__(self, port: int = 0, *, delay_s: float = 0.0) -> None:
         super().__init__(port)
         self.delay_s = delay_s
-        self.runs: collections.Counter[str] = collections.Counter()
+        self.booking_counts: collections.Counter[str] = collections.Counter()
         self.drop_response = False
         self.wrong_request_id = False
         self.lookups = 0
@@ -34,7 +34,7 @@
 
     async def _book(self, request: web.Request) -> web.Response:
         slot = (await request.json())['slot']
-        self.runs[slot] += 1
+        self.booking_counts[slot] += 1
         if self.drop_response and request.transport is not None:
             request.transport.abort()
         await asyncio.sleep(self.delay_s)
@@ -48,7 +48,7 @@
 
     async def _report_runs(self, request: web.Request) -> web.Response:
         del request
-        return web.json_response(dict(self.runs))
+        return web.json_response(dict(self.booking_counts))
 
     def _respond(
         self, request: web.Request, body: dict[str, object]
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -59,7 +59,7 @@
     )
     assert actual_status == status
     assert reason in answer['error']['reason']
-    assert not system.booking.runs
+    assert not system.booking.booking_counts
 
 
 async def test_a_key_dated_in_the_future_is_refused(system):
@@ -71,7 +71,7 @@
         Idempotency_Key=str(key),
     )
     assert (actual_status, answer['error']['ran']) == (400, 'no')
-    assert not system.booking.runs
+    assert not system.booking.booking_counts
 
 
 async def test_an_unknown_path_gets_a_json_error(system):
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -25,7 +25,7 @@
     first = await book(system, key=key)
     second = await book(system, key=key)
     assert first == second
-    assert system.booking.runs == {'oven-1': 1}
+    assert system.booking.booking_counts == {'oven-1': 1}
 
 
 async def test_a_booking_whose_answer_was_lost_isnt_run_again(system):
@@ -37,7 +37,7 @@
             await book(system, key=key)
         assert caught.value.ran is errors.Ran.UNKNOWN
         system.booking.drop_response = False
-    assert system.booking.runs == {'oven-1': 1}
+    assert system.booking.booking_counts == {'oven-1': 1}
 
 
 async def test_an_answer_for_another_request_is_rejected(system):
@@ -64,7 +64,7 @@
     await system.booking.start()
     with pytest.raises(errors.RequestError, match='use a new key'):
         await book(system, 'a', key=key)
-    assert not system.booking.runs
+    assert not system.booking.booking_counts
 
 
 async def test_a_key_used_for_another_booking_is_refused(system):
@@ -73,7 +73,7 @@
     with pytest.raises(errors.RequestError) as caught:
         await book(system, 'oven-2', key=key)
     assert caught.value.status == 422
-    assert system.booking.runs == {'oven-1': 1}
+    assert system.booking.booking_counts == {'oven-1': 1}
 
 
 async def test_a_key_older_than_the_watermark_is_refused(system):
@@ -81,7 +81,7 @@
     system.control.state.claims.advance_watermark(2_000.0)
     with pytest.raises(errors.RequestError, match='too old'):
         await book(system, key=str(old))
-    assert not system.booking.runs
+    assert not system.booking.booking_counts
 
 
 async def test_an_idempotent_call_returns_the_response(system):
@@ -100,7 +100,7 @@
     )
     assert status == 503
     assert answer['error']['step'] == 'claim'
-    assert not system.booking.runs
+    assert not system.booking.booking_counts
 
 
 def start_booking(system, key):
@@ -130,11 +130,11 @@
     system.booking.delay_s = 30.0
     key = make_key()
     first = start_booking(system, key)
-    await conftest.wait_until(lambda: system.booking.runs)
+    await conftest.wait_until(lambda: system.booking.booking_counts)
     await system.kill_entry('e1')
     error = await resend(system, key)
     assert (error.status, error.ran) == (409, errors.Ran.UNKNOWN)
-    assert system.booking.runs == {'oven-1': 1}
+    assert system.booking.booking_counts == {'oven-1': 1}
     await asyncio.gather(first, return_exceptions=True)
 
 
@@ -158,7 +158,7 @@
     await system.kill_entry('e1')
     error = await resend(system, key)
     assert error.ran is errors.Ran.UNKNOWN
-    assert not system.booking.runs
+    assert not system.booking.booking_counts
     await asyncio.gather(first, return_exceptions=True)
 
 
@@ -169,7 +169,7 @@
     # background.
     system.booking.delay_s = 0.2
     booking = asyncio.ensure_future(book(system))
-    await conftest.wait_until(lambda: system.booking.runs)
+    await conftest.wait_until(lambda: system.booking.booking_counts)
     await system.stop_control()
     answer = await booking
     assert answer.status == 200
