--- a/src/bulrushhold/control/_fleetcontrol.py
+++ b/src/bulrushhold/control/_fleetcontrol.py
@@ -3,11 +3,11 @@
 import asyncio
 
 from bulrushhold.control import _clusterview
-from bulrushhold.control import _follower
-from bulrushhold.control import _leader
 from bulrushhold.control import _leaderclient
 from bulrushhold.control import _relay
 from bulrushhold.control import _server
+from bulrushhold.control import _viewfollower
+from bulrushhold.control import _viewpublisher
 from bulrushhold.control import _watch
 from bulrushhold import messages
 from bulrushhold import ports
@@ -32,10 +32,10 @@
             str(server.config.peer), data_centre, True, link_mbps
         )
         self.view = _clusterview.ClusterView(server.clock)
-        self.leader = _leader.ViewPublisher(
+        self.leader = _viewpublisher.ViewPublisher(
             server, local_node, self.view, source, lambda: self.watch.entries()
         )
-        self.follower = _follower.ViewFollower(
+        self.follower = _viewfollower.ViewFollower(
             server.transport,
             local_node,
             self.view,
@@ -82,7 +82,7 @@
             relay.peer, data_centre, False, link_mbps
         )
         self.view = _clusterview.ClusterView(relay.clock)
-        self.follower = _follower.ViewFollower(
+        self.follower = _viewfollower.ViewFollower(
             relay.transport,
             local_node,
             self.view,
