--- a/src/bulrushhold/decisions/_replica.py
+++ b/src/bulrushhold/decisions/_replica.py
@@ -28,7 +28,7 @@
 
     :param ident: identity of the replica; a replica that lost its disk must
         use a new one.
-    :param durable: persisted state read at start-up.
+    :param persisted_state: persisted state read at start-up.
     :param now: monotonic seconds.
     """
 
--- a/src/bulrushhold/decisions/_takeover.py
+++ b/src/bulrushhold/decisions/_takeover.py
@@ -3,8 +3,8 @@
 A key can have more than one generated text, since an entry that finds no copy
 starts the answer over. A caller with tokens of one text must never get the
 rest of another. An entry that starts a text therefore records its epoch
-(``since``) at a majority of the key's pointer homes before using an engine,
-and a takeover reads a majority and ignores copies written before ``since``.
+(``start_epoch``) at a majority of the key's pointer homes before using an
+engine, and a takeover reads a majority and ignores copies written before it.
 """
 
 import collections.abc as cabc
@@ -19,11 +19,11 @@
     """Combined answers of a key's pointer homes.
 
     :param majority: whether a majority of the homes answered.
-    :param sure: whether a majority of the homes would know of any earlier use
+    :param conclusive: whether a majority of the homes would know of any earlier use
         of the key.
     :param epoch: highest epoch registered at a home.
-    :param since: epoch in which the latest text was started.
-    :param former: addresses that may hold a copy.
+    :param start_epoch: epoch in which the latest text was started.
+    :param copy_addresses: addresses that may hold a copy.
     :param mismatch: whether the key was used for another request.
     """
 
--- a/tests/test_takeover_orders.py
+++ b/tests/test_takeover_orders.py
@@ -275,7 +275,7 @@
 
 
 def test_search_detects_a_copy_of_an_earlier_text():
-    # Seeded bug: without ``since``, a copy of the first text that one
+    # Seeded bug: without ``start_epoch``, a copy of the first text that one
     # takeover missed and the next one found would continue the second text.
     with pytest.raises(MixedTexts):
         for seed in range(SEEDS * 5):
