--- a/src/bulrushhold/decisions/_routing.py
+++ b/src/bulrushhold/decisions/_routing.py
@@ -47,7 +47,8 @@
     :param listed: whether the platform's list contains it.
     :param draining_until: monotonic seconds until which it gets no requests
         after it announced its shutdown.
-    :param poison_candidates: number of running requests that may be poison requests.
+    :param poison_candidates: number of running requests that may be poison
+        requests.
     :param gaps: estimate of its inter-token latency.
     """
 
--- a/src/bulrushhold/decisions/_takeover.py
+++ b/src/bulrushhold/decisions/_takeover.py
@@ -19,8 +19,8 @@
     """Combined answers of a key's pointer homes.
 
     :param majority: whether a majority of the homes answered.
-    :param conclusive: whether a majority of the homes would know of any earlier use
-        of the key.
+    :param conclusive: whether a majority of the homes would know of any
+        earlier use of the key.
     :param epoch: highest epoch registered at a home.
     :param start_epoch: epoch in which the latest text was started.
     :param copy_addresses: addresses that may hold a copy.
